--- a/src/domain_drain.cpp
+++ b/src/domain_drain.cpp
@@ -1,4 +1,5 @@
-/// \file domain_drain.cpp Which upstreams a drained failure domain leaves.
+/// \file domain_drain.cpp Marks the upstreams of drained failure domains
+/// as leaving.
 #include "domain_drain_func.h"
 
 namespace fulmar {
--- a/src/domain_drain_func.h
+++ b/src/domain_drain_func.h
@@ -1,4 +1,5 @@
-/// \file domain_drain_func.h Which upstreams a drained failure domain leaves.
+/// \file domain_drain_func.h Marks the upstreams of drained failure
+/// domains as leaving.
 #ifndef FULMARSTEP_DOMAIN_DRAIN_FUNC_H
 #define FULMARSTEP_DOMAIN_DRAIN_FUNC_H
 
@@ -9,23 +10,24 @@
 
 namespace fulmar {
 
-/// Takes in one change, at its place in the order of changes. A change that is
-/// known already, as after a repeated answer, changes nothing.
+/// Applies one change with its store revision. A change whose revision is
+/// already known, for example after a repeated response, has no effect.
 void domainDrainChange(DrainedDomains &Known, const std::string &Domain,
                        bool Drained, std::uint64_t Revision);
 
-/// Takes in what was read, or what another node knows, if that is newer.
-/// \return Whether it was.
+/// Replaces \p Known by a state that was read from the store or received from
+/// another node, if its revision is newer.
+/// \return Whether it was newer.
 bool domainDrainTake(DrainedDomains &Known, const DrainedDomains &Heard);
 
-/// \return Upstreams as they are to be used: those of drained domains count as
-/// leaving. What they work on ends there, their results can still be read, and
-/// nothing new is sent, whoever chooses.
+/// \return The listed upstreams, with those of drained domains marked as
+/// leaving: requests in flight complete there and results can still be read,
+/// but no component that chooses among upstreams sends them new work.
 std::map<std::string, UpstreamEntry>
 domainDrainApply(const std::map<std::string, UpstreamEntry> &Listed,
                  const DrainedDomains &Known);
 
-/// \return One of them as it is to be used.
+/// The same for a single entry.
 UpstreamEntry domainDrainApply(UpstreamEntry Entry,
                                const DrainedDomains &Known);
 
--- a/src/domain_drain_type.h
+++ b/src/domain_drain_type.h
@@ -8,14 +8,14 @@
 
 namespace fulmar {
 
-/// Failure domains whose upstreams get nothing new until they are taken back.
+/// Failure domains whose upstreams get no new work until the drain is undone.
 ///
-/// Every change of it has its place in the key-value service's one order of
-/// changes. So of two nodes that know different ones, the one that knows up to
-/// the later change is right, however either of them heard.
+/// The key-value service orders all changes of this set by revision. Where two
+/// nodes hold different sets, the one with the higher revision is right,
+/// regardless of how either node received it.
 struct DrainedDomains {
-  std::set<std::string> Names; ///< Drained now.
-  std::uint64_t Revision = 0;  ///< All changes up to this one are in it.
+  std::set<std::string> Names; ///< Domains that are drained now.
+  std::uint64_t Revision = 0;  ///< Includes all changes up to this one.
 
   bool operator==(const DrainedDomains &) const = default;
 };
--- a/src/freshness.h
+++ b/src/freshness.h
@@ -8,40 +8,44 @@
 
 namespace fulmar {
 
-/// What a node knows of the age of its configuration.
+/// When a node last confirmed that its configuration is current.
 ///
-/// A key that was taken away must stop working everywhere within a set time,
-/// also at a node that cannot read the store. Such a node cannot know that
-/// anything changed; it can only know when it last was sure that nothing had.
-/// The time counts from when the confirming call was sent, not from its
-/// answer, and on a clock that goes on while the machine is suspended.
+/// A revoked API key must stop working at every node within a configured time,
+/// also at a node that cannot read the store. Such a node cannot detect a
+/// change; it only knows when it last confirmed that there was none. The age
+/// counts from when the confirming request was sent, not from its response, and
+/// uses a clock that continues while the machine is suspended.
 struct Freshness {
-  std::optional<Duration> ConfirmedAt; ///< Boot-time clock; empty: never.
+  std::optional<Duration>
+      ConfirmedAt; ///< On the boot-time clock; empty: never.
 };
 
-/// Bounds that follow from how long a withdrawn key may still be accepted.
+/// Limits on the age of the configuration.
 struct FreshnessBounds {
-  Duration Revocation{}; ///< Zero: a configuration is believed for ever.
+  Duration Revocation{}; ///< How long a revoked key may still be
+                         ///< accepted; zero: configurations never expire.
 };
 
-/// Part of the revocation time within which keys are accepted. The rest covers
-/// a request that was accepted at the last moment and is on its way to its
-/// upstream, and a store whose watches hear nothing for a second.
+/// Fraction of the revocation time for which keys are accepted without a new
+/// confirmation. The rest covers a request that was accepted at the last moment
+/// and is on its way to its upstream, and a store whose watches deliver nothing
+/// for a second.
 inline constexpr double AcceptShare = 0.78;
-/// Part of the revocation time after which a node that cannot confirm its
-/// configuration is no longer given out as an entry: callers keep an address
-/// for a while, so that they should have moved away before requests are
-/// refused.
+/// Fraction of the revocation time after which a node that cannot confirm its
+/// configuration is no longer advertised as an entry node. Callers cache an
+/// address for a while and should have moved to another node before this one
+/// refuses requests.
 inline constexpr double EntryShare = 0.55;
 
-/// The configuration was read, or confirmed unchanged, by a call that was sent
-/// at \p Sent.
+/// Records that a request sent at \p Sent read the configuration or confirmed
+/// that it is unchanged.
 inline void freshnessConfirm(Freshness &F, Duration Sent) {
   if (!F.ConfirmedAt || *F.ConfirmedAt < Sent)
     F.ConfirmedAt = Sent;
 }
 
-/// \return The age, or nothing when it was never confirmed.
+/// \return The age of the configuration at \p Boot; empty if it was never
+/// confirmed.
 inline std::optional<Duration> freshnessAge(const Freshness &F, Duration Boot) {
   if (!F.ConfirmedAt)
     return std::nullopt;
@@ -58,7 +62,7 @@
          toMs(*Age) <= toMs(B.Revocation) * AcceptShare;
 }
 
-/// \return Whether this node should be given out as an entry at \p Boot.
+/// \return Whether this node should be advertised as an entry node at \p Boot.
 inline bool freshForEntry(const Freshness &F, const FreshnessBounds &B,
                           Duration Boot) {
   auto Age = freshnessAge(F, Boot);
--- a/src/subset.cpp
+++ b/src/subset.cpp
@@ -1,4 +1,4 @@
-/// \file subset.cpp Keeping subsets of upstreams even.
+/// \file subset.cpp Chooses an even subset of upstreams for each node.
 #include "subset_func.h"
 
 #include <algorithm>
@@ -8,23 +8,24 @@
 
 namespace fulmar {
 
-/// Nodes that take each upstream, so that all together take Size of them each.
-static std::size_t takersOf(std::size_t Upstreams, std::size_t Nodes,
-                            std::size_t Size) {
-  std::size_t Takers = (Size * Nodes + Upstreams - 1) / Upstreams;
-  return std::clamp<std::size_t>(Takers, 1, Nodes);
+/// \return The number of nodes that use each upstream, so that each node uses
+/// about \p Size upstreams.
+static std::size_t nodesPerUpstream(std::size_t Upstreams, std::size_t Nodes,
+                                    std::size_t Size) {
+  std::size_t NodeCount = (Size * Nodes + Upstreams - 1) / Upstreams;
+  return std::clamp<std::size_t>(NodeCount, 1, Nodes);
 }
 
-static bool isHigher(const SubsetEntry &E, const std::string &Node) {
+static bool outranksSelf(const SubsetEntry &E, const std::string &Node) {
   return rendezvousWeight(E.Key, Node) > E.OwnWeight;
 }
 
-/// Counts a node that has come or gone, wherever it stands higher.
-static void countNode(Subset &S, const std::string &Node, bool Comes) {
+/// Updates this node's ranks after \p Node has joined or left.
+static void updateRanks(Subset &S, const std::string &Node, bool Joins) {
   for (auto &[Address, E] : S.Entries) {
-    if (!isHigher(E, Node))
+    if (!outranksSelf(E, Node))
       continue;
-    E.Higher = Comes ? E.Higher + 1 : E.Higher - 1;
+    E.Rank = Joins ? E.Rank + 1 : E.Rank - 1;
   }
 }
 
@@ -32,26 +33,26 @@
   std::vector<std::string> Next(Nodes.begin(), Nodes.end());
   std::sort(Next.begin(), Next.end());
   std::erase(Next, S.Self);
-  std::vector<std::string> Gone;
-  std::vector<std::string> Come;
+  std::vector<std::string> Left;
+  std::vector<std::string> Joined;
   std::set_difference(S.Nodes.begin(), S.Nodes.end(), Next.begin(), Next.end(),
-                      std::back_inserter(Gone));
+                      std::back_inserter(Left));
   std::set_difference(Next.begin(), Next.end(), S.Nodes.begin(), S.Nodes.end(),
-                      std::back_inserter(Come));
-  for (const std::string &Node : Gone)
-    countNode(S, Node, false);
-  for (const std::string &Node : Come)
-    countNode(S, Node, true);
+                      std::back_inserter(Joined));
+  for (const std::string &Node : Left)
+    updateRanks(S, Node, false);
+  for (const std::string &Node : Joined)
+    updateRanks(S, Node, true);
   S.Nodes = std::move(Next);
 }
 
-/// Places this node for an upstream that is new here.
+/// Computes this node's rank for a new upstream.
 static SubsetEntry makeEntry(const Subset &S, const std::string &Address) {
   SubsetEntry E;
   E.Key = hash64(Address);
   E.OwnWeight = rendezvousWeight(E.Key, S.Self);
   for (const std::string &Node : S.Nodes)
-    E.Higher += isHigher(E, Node) ? 1 : 0;
+    E.Rank += outranksSelf(E, Node) ? 1 : 0;
   return E;
 }
 
@@ -60,8 +61,8 @@
                                       std::size_t Size) {
   std::vector<std::size_t> Out;
   bool All = Listed.size() <= Size || S.Nodes.empty();
-  std::size_t Takers =
-      All ? 0 : takersOf(Listed.size(), S.Nodes.size() + 1, Size);
+  std::size_t NodeCount =
+      All ? 0 : nodesPerUpstream(Listed.size(), S.Nodes.size() + 1, Size);
   for (auto &[Address, E] : S.Entries)
     E.Listed = false;
   for (std::size_t I = 0; I < Listed.size(); ++I) {
@@ -70,10 +71,10 @@
     if (Found == S.Entries.end())
       Found = S.Entries.emplace(Address, makeEntry(S, Address)).first;
     Found->second.Listed = true;
-    // Seen from the upstream: its takers are the nodes with the highest
-    // weights for it, so each upstream has equally many, and a node that comes
-    // or goes moves one taker of the upstreams that it takes.
-    if (All || Found->second.Higher < Takers)
+    // An upstream is used by the nodes with the highest weights for it. So each
+    // upstream is used by equally many nodes, and a node that joins or leaves
+    // changes one user of each of the upstreams that it uses.
+    if (All || Found->second.Rank < NodeCount)
       Out.push_back(I);
   }
   std::erase_if(S.Entries,
--- a/src/subset_base.h
+++ b/src/subset_base.h
@@ -9,12 +9,12 @@
 
 namespace fulmar {
 
-/// Where this node stands among the nodes for one upstream.
+/// This node's rank among all nodes for one upstream.
 struct SubsetEntry {
   std::uint64_t Key = 0;       ///< Hash of the upstream's address.
   std::uint64_t OwnWeight = 0; ///< This node's rendezvous weight for it.
-  std::size_t Higher = 0;      ///< Nodes with a higher weight.
-  bool Listed = true;          ///< Seen in the latest host list.
+  std::size_t Rank = 0;        ///< Number of nodes with a higher weight.
+  bool Listed = true;          ///< In the latest host list.
 };
 
 /// The subset of one pool, kept up to date as nodes and upstreams come and go.
--- a/src/subset_func.h
+++ b/src/subset_func.h
@@ -1,4 +1,4 @@
-/// \file subset_func.h Keeping subsets of upstreams even.
+/// \file subset_func.h Chooses an even subset of upstreams for each node.
 #ifndef FULMARSTEP_SUBSET_FUNC_H
 #define FULMARSTEP_SUBSET_FUNC_H
 
@@ -8,12 +8,13 @@
 
 namespace fulmar {
 
-/// Takes in the live nodes. Costs one hash for each upstream and each node that
-/// has come or gone, not one for each pair.
+/// Updates the live nodes. Computes one hash per upstream for each node that
+/// joined or left, not one for each pair of a node and an upstream.
 void subsetNodes(Subset &S, std::span<const std::string> Nodes);
 
-/// Chooses the upstreams that this node uses, about \p Size of a pool.
-/// \return Indexes into \p Listed, ascending; all where there are no more.
+/// Chooses about \p Size upstreams of a pool for this node to use.
+/// \return Indexes into \p Listed, ascending; all of them if there are at most
+/// \p Size.
 std::vector<std::size_t>
 chooseSubset(Subset &S, std::span<const UpstreamSpec> Listed, std::size_t Size);
 
--- a/tests/test_domain_drain.cpp
+++ b/tests/test_domain_drain.cpp
@@ -1,4 +1,4 @@
-/// \file test_domain_drain.cpp A failure domain takes nothing new.
+/// \file test_domain_drain.cpp Failure domains that are drained.
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
 
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Nodes before upstreams of every kind in two failure domains.
+/// Nodes that serve upstreams of every kind in two failure domains.
 struct TwoDomains : GatewayWorld {
   TwoDomains() {
     for (const char *Domain : {"z1", "z2"}) {
@@ -33,7 +33,7 @@
   void drain(const std::string &Domain) {
     Store.put("op/evacuate/" + Domain, "{}");
   }
-  void takeBack(const std::string &Domain) {
+  void undoDrain(const std::string &Domain) {
     Store.erase("op/evacuate/" + Domain);
   }
 
@@ -51,13 +51,14 @@
         .Names;
   }
 
-  /// Waits until \p Node knows these, for as long as an order may take.
-  bool knows(std::size_t Node, const std::set<std::string> &Domains) {
+  /// Waits until exactly \p Domains are drained at \p Node, for as long as a
+  /// drain may take to reach it.
+  bool waitForDrained(std::size_t Node, const std::set<std::string> &Domains) {
     return runUntil(
         Loop, [&] { return drainedAt(Node) == Domains; }, seconds(4));
   }
 
-  /// Sends requests of every kind. \return How many ended well.
+  /// Sends requests of every kind. \return How many succeeded.
   int serve(int Count, std::size_t Node = 0) {
     std::vector<std::shared_ptr<ClientResult>> Sent;
     for (int I = 0; I < Count; ++I) {
@@ -75,7 +76,7 @@
         }));
   }
 
-  /// \return Requests and calls that came to a domain's upstreams so far.
+  /// \return Requests and calls that a domain's upstreams have received.
   int workIn(const std::string &Domain) {
     int Sum = Runners["b-" + Domain]->BatchCalls;
     for (const char *Pool : {"p-", "e-"})
@@ -87,97 +88,97 @@
 } // namespace
 
 SCENARIO("an operator drains a failure domain") {
-  // Symptom: requests still reach upstreams of a domain long after the operator
-  // was told that it takes nothing new.
-  // Sequence: the order is written; nodes go on choosing among all upstreams.
-  // Cause: nodes followed the key of the configuration only.
+  // Guards against requests that still reach upstreams of a domain long after
+  // the operator was told that it gets no new work. The drain was written, but
+  // nodes watched only the key of the configuration and kept choosing among all
+  // upstreams.
   TwoDomains W;
   W.addNode();
   CHECK(W.serve(8) == 24);
   REQUIRE(W.workIn("z1") > 0);
   REQUIRE(W.workIn("z2") > 0);
   W.drain("z2");
-  REQUIRE(W.knows(0, {"z2"}));
+  REQUIRE(W.waitForDrained(0, {"z2"}));
   int Before = W.workIn("z2");
-  THEN("neither requests nor pieces go there, and all are served elsewhere") {
+  THEN("no requests or pieces go there, and all are served elsewhere") {
     CHECK(W.serve(8) == 24);
     CHECK(W.workIn("z2") == Before);
   }
-  THEN("a node that starts in the midst of it sends nothing there") {
+  THEN("a node that starts during the drain sends nothing there") {
     W.addNode();
     CHECK(W.serve(8, 1) == 24);
     CHECK(W.workIn("z2") == Before);
   }
-  THEN("it is used again once it is taken back") {
-    W.takeBack("z2");
-    REQUIRE(W.knows(0, {}));
+  THEN("it is used again once the drain is undone") {
+    W.undoDrain("z2");
+    REQUIRE(W.waitForDrained(0, {}));
     CHECK(W.serve(8) == 24);
     CHECK(W.workIn("z2") > Before);
   }
-  THEN("a change of the configuration does not bring it back") {
+  THEN("a change of the configuration does not undo the drain") {
     W.configure();
     W.pass(seconds(1));
     CHECK(W.serve(8) == 24);
     CHECK(W.workIn("z2") == Before);
   }
-  THEN("an order that was given while history was lost is known") {
+  THEN("a drain is applied that was written while watch history was lost") {
     W.Store.put("op/evacuate/z1", "{}");
-    W.takeBack("z2");
+    W.undoDrain("z2");
     W.Store.dropHistory();
-    CHECK(W.knows(0, {"z1"}));
+    CHECK(W.waitForDrained(0, {"z1"}));
   }
 }
 
 SCENARIO("every failure domain is drained") {
-  // Symptom: callers wait for their whole time for an answer that is certain.
-  // Sequence: both domains are drained; a request is taken in and waits.
-  // Cause: none seen; nothing can be served, and callers must hear so at once.
+  // Guards against requests that are accepted and wait until their deadline
+  // while both domains are drained. Nothing can be served, so callers must be
+  // refused at once. No such fault is known so far.
   TwoDomains W;
   W.addNode();
   W.drain("z1");
   W.drain("z2");
-  REQUIRE(W.knows(0, {"z1", "z2"}));
+  REQUIRE(W.waitForDrained(0, {"z1", "z2"}));
   for (const char *Path : {"/post/x", "/get/x", "/stream/x", "/staged/x"}) {
     TimePoint Asked = W.Timers.now();
     ClientResult Got = W.ask(Path, {{"X-Pieces", "1,1,1"}});
     CHECK(Got.Answer.Status == 503);
     CHECK(!Got.Answer.header("Retry-After").empty());
-    // Long before its target has passed: nothing was waited for.
+    // Long before the target latency: the request was not queued.
     CHECK(W.Timers.now() - Asked < milliseconds(W.TargetMs));
     CHECK(W.runsOfLast() == 0);
   }
   CHECK(W.workIn("z1") + W.workIn("z2") == 0);
 }
 
-SCENARIO("orders to drain reach nodes by every way") {
+SCENARIO("drains reach nodes by every way") {
   TwoDomains W;
   W.addNode();
   TcpProxy Link(W.Loop, "127.0.0.1", 0, W.Store.address());
   W.StoreAddress = "127.0.0.1:" + std::to_string(Link.port());
   W.addNode();
-  GIVEN("a node that the key-value service turns away") {
+  GIVEN("a node that cannot connect to the key-value service") {
     Link.setMode(ProxyMode::Reset);
-    W.pass(seconds(3)); // It is known as unfit, so the other reads for it.
+    W.pass(seconds(3)); // It is marked as unfit; the other node reads for it.
     W.drain("z2");
-    THEN("it hears from the node that reads for it, of the end too") {
-      CHECK(W.knows(1, {"z2"}));
-      W.takeBack("z2");
-      CHECK(W.knows(1, {}));
+    THEN("the node that reads for it sends it the drain and its end") {
+      CHECK(W.waitForDrained(1, {"z2"}));
+      W.undoDrain("z2");
+      CHECK(W.waitForDrained(1, {}));
     }
   }
-  GIVEN("orders given and taken back several times a second") {
+  GIVEN("domains that are drained and taken back several times a second") {
     for (int I = 0; I < 10; ++I) {
       W.drain("z2");
       W.pass(milliseconds(40));
-      W.takeBack("z2");
+      W.undoDrain("z2");
       W.drain("z1");
       W.pass(milliseconds(60));
-      W.takeBack("z1");
+      W.undoDrain("z1");
     }
     W.drain("z1");
-    THEN("all nodes end with the last one") {
-      CHECK(W.knows(0, {"z1"}));
-      CHECK(W.knows(1, {"z1"}));
+    THEN("all nodes end with the last state") {
+      CHECK(W.waitForDrained(0, {"z1"}));
+      CHECK(W.waitForDrained(1, {"z1"}));
       W.pass(seconds(2));
       CHECK(W.drainedAt(0) == std::set<std::string>{"z1"});
       CHECK(W.drainedAt(1) == std::set<std::string>{"z1"});
@@ -186,8 +187,8 @@
 }
 
 SCENARIO("a bundle drains a failure domain") {
-  // Symptom: a domain cannot be emptied without the host list's owner.
-  // Cause: a bundle had no word for it.
+  // Guards against a domain that only the owner of the host list can drain: a
+  // bundle had no setting for it.
   const std::string Parts = R"(
       "organisations": [ { "name": "o", "pipelines": ["ask"] } ],
       "pools": [ { "name": "enc", "kind": "stage" } ],
@@ -224,15 +225,15 @@
   }
   CHECK(SentTo("a:1") == 0);
   CHECK(SentTo("a:2") > 0);
-  // What waits goes there as soon as it is taken back.
+  // Queued requests go there as soon as the drain is undone.
   PutInForce(2, "");
   CHECK(SentTo("a:1") > 0);
 }
 
-TEST_CASE("nodes that hear changes in any order and number end with the latest "
-          "(property)") {
+TEST_CASE("nodes that receive changes in any order and number end with the "
+          "latest (property)") {
   CHECK(rc::check("drained domains", [] {
-    // What is in force after each change.
+    // The state after each change.
     std::vector<DrainedDomains> After(1);
     int Changes = *rc::gen::inRange(1, 12);
     for (int I = 1; I <= Changes; ++I) {
