--- a/src/fleet_clock.h
+++ b/src/fleet_clock.h
@@ -1,4 +1,4 @@
-/// \file fleet_clock.h A time that all nodes of a fleet share.
+/// \file fleet_clock.h A clock that all nodes of a fleet share.
 #ifndef FULMARSTEP_FLEET_CLOCK_H
 #define FULMARSTEP_FLEET_CLOCK_H
 
@@ -8,29 +8,30 @@
 
 namespace fulmar {
 
-/// A steady time that nodes agree on to within a message's delay.
+/// A monotonic clock that nodes agree on to within the delay of a message.
 ///
-/// Every message says what its sender takes the time for, and each node follows
-/// whoever is furthest ahead. A late message therefore changes nothing, and a
-/// node that starts never moves the others.
+/// Every message carries its sender's fleet time, and each node adopts the
+/// highest time that it receives. A delayed message therefore changes nothing,
+/// and a node that starts never moves the clocks of the others.
 struct FleetClock {
-  TimePoint Started{}; ///< When this node began to count.
-  Duration Ahead{};    ///< Others are further by this.
+  TimePoint Started{}; ///< Local time at which this clock was zero.
+  Duration Offset{};   ///< Offset to the node that is furthest ahead.
 };
 
-/// \return The fleet's time.
+/// \return The fleet time at local time \p Now.
 inline Duration fleetTime(const FleetClock &Clock, TimePoint Now) {
-  return Now - Clock.Started + Clock.Ahead;
+  return Now - Clock.Started + Clock.Offset;
 }
 
-/// \return When the fleet's time was zero, by this node's clock.
+/// \return The local time at which the fleet time was zero.
 inline TimePoint fleetOrigin(const FleetClock &Clock) {
-  return Clock.Started - Clock.Ahead;
+  return Clock.Started - Clock.Offset;
 }
 
-/// Takes in what another node takes the time for.
-inline void fleetTimeHeard(FleetClock &Clock, Duration Theirs, TimePoint Now) {
-  Clock.Ahead = std::max(Clock.Ahead, Theirs - (Now - Clock.Started));
+/// Advances the clock to the fleet time of another node, if that is ahead.
+inline void fleetTimeHeard(FleetClock &Clock, Duration Received,
+                           TimePoint Now) {
+  Clock.Offset = std::max(Clock.Offset, Received - (Now - Clock.Started));
 }
 
 } // namespace fulmar
--- a/src/limit_base.h
+++ b/src/limit_base.h
@@ -1,4 +1,4 @@
-/// \file limit_base.h A limit on calls at once that finds itself.
+/// \file limit_base.h An adaptive limit on concurrent calls.
 #ifndef FULMARSTEP_LIMIT_BASE_H
 #define FULMARSTEP_LIMIT_BASE_H
 
@@ -6,11 +6,11 @@
 
 namespace fulmar {
 
-/// How many calls at once one upstream is given.
+/// The limit on concurrent calls to one upstream.
 struct ConcurrencyLimit {
-  double Limit = 4;         ///< Calls; its whole part counts.
-  double Max = 64;          ///< Calls at most.
-  TimePoint LastDecrease{}; ///< When it last shrank.
+  double Limit = 4;         ///< Concurrent calls; rounded down when applied.
+  double Max = 64;          ///< Upper bound of Limit.
+  TimePoint LastDecrease{}; ///< When Limit was last decreased.
 };
 
 } // namespace fulmar
--- a/src/limit_func.h
+++ b/src/limit_func.h
@@ -1,4 +1,4 @@
-/// \file limit_func.h How a concurrency limit follows latency.
+/// \file limit_func.h Adapts a concurrency limit to the latency.
 #ifndef FULMARSTEP_LIMIT_FUNC_H
 #define FULMARSTEP_LIMIT_FUNC_H
 
@@ -6,18 +6,18 @@
 
 namespace fulmar {
 
-/// Takes in a call that ended well.
-/// \param Ratio its latency over that of an uncrowded upstream.
-/// \param Tolerance the ratio from which on the upstream counts as crowded.
-/// \param InFlight calls at once when it ended, itself included.
-/// \param Took its latency; the limit shrinks once in that time.
+/// Adapts the limit after a call that succeeded.
+/// \param Ratio its latency divided by that of an upstream without load.
+/// \param Tolerance the ratio above which the upstream counts as overloaded.
+/// \param InFlight calls in flight when it ended, itself included.
+/// \param Took its latency; the limit decreases at most once in that time.
 void limitOnSuccess(ConcurrencyLimit &L, double Ratio, double Tolerance,
                     int InFlight, Duration Took, TimePoint Now);
 
-/// Takes in a call that failed in a way that points to overload.
+/// Decreases the limit after a failure that indicates overload.
 void limitOnFailure(ConcurrencyLimit &L, TimePoint Now);
 
-/// \return Whether one more call may be sent beside \p InFlight others.
+/// \return Whether a call may be sent while \p InFlight others are in flight.
 inline bool limitAllows(const ConcurrencyLimit &L, int InFlight) {
   return InFlight < static_cast<int>(L.Limit);
 }
--- a/src/rate_limit.cpp
+++ b/src/rate_limit.cpp
@@ -1,4 +1,5 @@
-/// \file rate_limit.cpp Limits that upstreams in need name in their answers.
+/// \file rate_limit.cpp Rate limits that overloaded upstreams announce in
+/// their responses.
 #include "rate_limit_func.h"
 
 #include <algorithm>
@@ -6,19 +7,22 @@
 
 namespace fulmar {
 
-/// A limit that differs by less than this part of it is the same one.
-static constexpr double SameShare = 0.1;
-/// An upstream that is asked less often could not say that its need is over.
-static constexpr double LeastPerSecond = 0.1;
-/// Limits that ended are told to others for this long, and remembered for
-/// longer, so that nobody brings them back.
-static constexpr Duration EndedTold = std::chrono::seconds(10);
-static constexpr Duration EndedKept = std::chrono::seconds(30);
-/// Limits in one message.
-static constexpr std::size_t MostTold = 200;
+/// A limit that differs by no more than this fraction counts as unchanged.
+static constexpr double ChangeTolerance = 0.1;
+/// An upstream that gets fewer requests per second could not announce the end
+/// of its limit.
+static constexpr double MinPerSecond = 0.1;
+/// Limits that ended are sent to other nodes for EndedShareTime and kept for
+/// EndedRetention, which is longer, so that an outdated message does not
+/// restore them.
+static constexpr Duration EndedShareTime = std::chrono::seconds(10);
+static constexpr Duration EndedRetention = std::chrono::seconds(30);
+/// Limits in one message at most.
+static constexpr std::size_t MaxNotices = 200;
 
-static RateLimitChange named(RateLimits &Limits, const Incarnation &Upstream,
-                             double PerSecond, TimePoint Now) {
+static RateLimitChange recordLimit(RateLimits &Limits,
+                                   const Incarnation &Upstream,
+                                   double PerSecond, TimePoint Now) {
   auto [Found, Fresh] = Limits.Entries.try_emplace(Upstream);
   RateLimit &L = Found->second;
   bool Begins = Fresh || L.Ended;
@@ -27,22 +31,25 @@
   L.PerSecond = PerSecond;
   if (Begins)
     L.Since = Now;
-  bool Same = std::abs(PerSecond - Before) <= Before * SameShare;
+  bool Same = std::abs(PerSecond - Before) <= Before * ChangeTolerance;
   if (!Begins && Same)
     return RateLimitChange::None;
   ++L.Round;
   return RateLimitChange::Named;
 }
 
-RateLimitChange rateLimitHeard(RateLimits &Limits, const Incarnation &Upstream,
-                               const RateLimitAnswer &Answer, TimePoint Now) {
+RateLimitChange rateLimitOnResponse(RateLimits &Limits,
+                                    const Incarnation &Upstream,
+                                    const RateLimitAnswer &Answer,
+                                    TimePoint Now) {
   if (Answer.PerSecond)
-    return named(Limits, Upstream, *Answer.PerSecond, Now);
+    return recordLimit(Limits, Upstream, *Answer.PerSecond, Now);
   auto Found = Limits.Entries.find(Upstream);
   if (Found == Limits.Entries.end() || Found->second.Ended || !Answer.Ran)
     return RateLimitChange::None;
-  // An answer that was under way when the limit was named says nothing of it.
-  if (Answer.Asked <= Found->second.Since)
+  // The response to a request that was sent before the limit was announced
+  // does not end the limit.
+  if (Answer.SentAt <= Found->second.Since)
     return RateLimitChange::None;
   Found->second.Ended = true;
   Found->second.Since = Now;
@@ -50,9 +57,9 @@
   return RateLimitChange::Ended;
 }
 
-/// \return Whether \p Notice replaces what is known. Of two that differ in one
-/// round the stricter one holds.
-static bool isNews(const RateLimit &Known, const RateLimitNotice &Notice) {
+/// \return Whether \p Notice replaces \p Known. Of two limits with the same
+/// version the stricter one is valid.
+static bool supersedes(const RateLimit &Known, const RateLimitNotice &Notice) {
   if (Notice.Round != Known.Round)
     return Notice.Round > Known.Round;
   if (Notice.Ended || Known.Ended)
@@ -60,11 +67,11 @@
   return Notice.PerSecond < Known.PerSecond;
 }
 
-RateLimitChange rateLimitTake(RateLimits &Limits, const RateLimitNotice &Notice,
-                              TimePoint Now) {
+RateLimitChange rateLimitMerge(RateLimits &Limits,
+                               const RateLimitNotice &Notice, TimePoint Now) {
   auto [Found, Fresh] = Limits.Entries.try_emplace(Notice.Upstream);
   RateLimit &L = Found->second;
-  if (!Fresh && !isNews(L, Notice))
+  if (!Fresh && !supersedes(L, Notice))
     return RateLimitChange::None;
   bool Before = !Fresh && !L.Ended;
   L.Round = Notice.Round;
@@ -93,21 +100,21 @@
                                               TimePoint Now) {
   std::vector<RateLimitNotice> Out;
   for (const auto &[Upstream, L] : Limits.Entries) {
-    if (L.Ended && Now - L.Since > EndedTold)
+    if (L.Ended && Now - L.Since > EndedShareTime)
       continue;
     Out.push_back({Upstream, L.Round, L.Ended, L.PerSecond});
-    if (Out.size() == MostTold)
+    if (Out.size() == MaxNotices)
       break;
   }
   return Out;
 }
 
-void rateLimitsAge(RateLimits &Limits,
-                   const std::function<bool(const Incarnation &)> &Listed,
-                   TimePoint Now) {
+void rateLimitsExpire(RateLimits &Limits,
+                      const std::function<bool(const Incarnation &)> &Listed,
+                      TimePoint Now) {
   std::erase_if(Limits.Entries, [&](const auto &Item) {
     const auto &[Upstream, L] = Item;
-    return Now - L.Since > EndedKept && (L.Ended || !Listed(Upstream));
+    return Now - L.Since > EndedRetention && (L.Ended || !Listed(Upstream));
   });
 }
 
@@ -116,7 +123,7 @@
   auto Found = Limits.Entries.find(Upstream);
   if (Found == Limits.Entries.end() || Found->second.Ended)
     return std::nullopt;
-  return std::max(Found->second.PerSecond, LeastPerSecond);
+  return std::max(Found->second.PerSecond, MinPerSecond);
 }
 
 } // namespace fulmar
--- a/src/rate_limit_base.h
+++ b/src/rate_limit_base.h
@@ -1,4 +1,4 @@
-/// \file rate_limit_base.h What a node knows of the limits that upstreams name.
+/// \file rate_limit_base.h Rate limits that upstreams have announced.
 #ifndef FULMARSTEP_RATE_LIMIT_BASE_H
 #define FULMARSTEP_RATE_LIMIT_BASE_H
 
@@ -8,17 +8,17 @@
 
 namespace fulmar {
 
-/// The limit of one upstream.
+/// The rate limit of one upstream.
 struct RateLimit {
-  std::uint32_t Round = 0; ///< Counts what the upstream said; the latest holds.
-  bool Ended = false;      ///< It does not name one any more.
-  double PerSecond = 0;    ///< Requests a second, from all nodes together.
-  TimePoint Since{};       ///< When this node learned that it is named, or not.
+  std::uint32_t Round = 0; ///< Version of the limit; the highest one is valid.
+  bool Ended = false;      ///< The upstream no longer announces a limit.
+  double PerSecond = 0;    ///< Requests per second from all nodes together.
+  TimePoint Since{};       ///< When this node learned of its start or end.
 };
 
-/// The state of one node.
+/// The rate limits that one node knows.
 struct RateLimits {
-  std::map<Incarnation, RateLimit> Entries; ///< By start of an upstream.
+  std::map<Incarnation, RateLimit> Entries; ///< By upstream incarnation.
 };
 
 } // namespace fulmar
--- a/src/rate_limit_func.h
+++ b/src/rate_limit_func.h
@@ -1,4 +1,5 @@
-/// \file rate_limit_func.h Limits that upstreams in need name in their answers.
+/// \file rate_limit_func.h Rate limits that overloaded upstreams announce in
+/// their responses.
 #ifndef FULMARSTEP_RATE_LIMIT_FUNC_H
 #define FULMARSTEP_RATE_LIMIT_FUNC_H
 
@@ -9,42 +10,45 @@
 
 namespace fulmar {
 
-/// An answer of an upstream.
+/// What a response of an upstream says about its rate limit.
 struct RateLimitAnswer {
-  std::optional<double> PerSecond; ///< The limit that it names.
-  bool Ran = false;  ///< The upstream did the work; a refusal may lack what
-                     ///< other answers say.
-  TimePoint Asked{}; ///< When the request was sent.
+  std::optional<double> PerSecond; ///< Announced limit, requests per second.
+  bool Ran = false;   ///< The upstream ran the request. A refusal may lack
+                      ///< the limit that other responses have.
+  TimePoint SentAt{}; ///< When the request was sent.
 };
 
-/// Takes in an answer of an upstream to this node.
-RateLimitChange rateLimitHeard(RateLimits &Limits, const Incarnation &Upstream,
-                               const RateLimitAnswer &Answer, TimePoint Now);
+/// Applies a response that an upstream sent to this node.
+RateLimitChange rateLimitOnResponse(RateLimits &Limits,
+                                    const Incarnation &Upstream,
+                                    const RateLimitAnswer &Answer,
+                                    TimePoint Now);
 
-/// Takes in what another node knows.
-RateLimitChange rateLimitTake(RateLimits &Limits, const RateLimitNotice &Notice,
-                              TimePoint Now);
+/// Merges the limit that another node knows.
+RateLimitChange rateLimitMerge(RateLimits &Limits,
+                               const RateLimitNotice &Notice, TimePoint Now);
 
-/// \return Whether this node knows something later than \p Notice.
+/// \return Whether this node knows a later version than \p Notice.
 bool rateLimitOutdated(const RateLimits &Limits, const RateLimitNotice &Notice);
 
-/// \return What this node knows of one upstream.
+/// \return The limit that this node knows for one upstream.
 RateLimitNotice rateLimitNotice(const RateLimits &Limits,
                                 const Incarnation &Upstream);
 
-/// \return What other nodes should know: limits that are named, and those that
-/// ended lately.
+/// \return The limits to send to other nodes: those in effect, and those that
+/// ended recently.
 std::vector<RateLimitNotice> rateLimitNotices(const RateLimits &Limits,
                                               TimePoint Now);
 
-/// Forgets limits that ended some time ago, and upstreams that are gone.
-/// \param Listed says whether an upstream is still there.
-void rateLimitsAge(RateLimits &Limits,
-                   const std::function<bool(const Incarnation &)> &Listed,
-                   TimePoint Now);
+/// Removes limits that ended some time ago, and those of upstreams that are no
+/// longer listed.
+/// \param Listed returns whether an upstream is still listed.
+void rateLimitsExpire(RateLimits &Limits,
+                      const std::function<bool(const Incarnation &)> &Listed,
+                      TimePoint Now);
 
-/// \return The limit that an upstream names, requests a second; nothing while
-/// it names none.
+/// \return The limit that an upstream announces, in requests per second; empty
+/// while it announces none.
 std::optional<double> rateLimitOf(const RateLimits &Limits,
                                   const Incarnation &Upstream);
 
--- a/src/rate_limit_service.cpp
+++ b/src/rate_limit_service.cpp
@@ -1,4 +1,4 @@
-/// \file rate_limit_service.cpp Keeps the limits that upstreams name.
+/// \file rate_limit_service.cpp Shares the rate limits that upstreams announce.
 #include "rate_limit_service.h"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 
 namespace fulmar {
 
-/// Between two reminders of what this node knows, and the nodes that get one.
-static constexpr Duration RemindPeriod = std::chrono::seconds(1);
-static constexpr std::size_t RemindedNodes = 2;
+/// Interval at which known limits are sent again, and the number of random
+/// nodes that get them.
+static constexpr Duration ResendPeriod = std::chrono::seconds(1);
+static constexpr std::size_t NodesPerResend = 2;
 
 void RateLimitService::start() {
   Timers = &Services.find<TimerService>(service::Timers);
@@ -24,33 +25,34 @@
       [this](const PeerMessage &From, const RateLimitUpdate &Update) {
         take(Update, From.Sender);
       });
-  Timers->every(RemindPeriod, [this] { tick(); });
+  Timers->every(ResendPeriod, [this] { tick(); });
 }
 
 void RateLimitService::heard(const Incarnation &Upstream,
                              const RateLimitAnswer &Answer) {
   RateLimitChange Change =
-      rateLimitHeard(State, Upstream, Answer, Timers->now());
+      rateLimitOnResponse(State, Upstream, Answer, Timers->now());
   if (Change == RateLimitChange::None)
     return;
   changed(Upstream, Change, "own");
   announce(Upstream);
 }
 
-/// Takes in what another node knows, and tells it what it has missed.
+/// Merges the limits that another node knows, and sends it later versions.
 void RateLimitService::take(const RateLimitUpdate &Update,
                             const std::string &From) {
-  RateLimitUpdate Missed;
+  RateLimitUpdate Outdated;
   for (const RateLimitNotice &Notice : Update.Notices) {
-    changed(Notice.Upstream, rateLimitTake(State, Notice, Timers->now()), From);
+    changed(Notice.Upstream, rateLimitMerge(State, Notice, Timers->now()),
+            From);
     if (rateLimitOutdated(State, Notice))
-      Missed.Notices.push_back(rateLimitNotice(State, Notice.Upstream));
+      Outdated.Notices.push_back(rateLimitNotice(State, Notice.Upstream));
   }
-  if (!Missed.Notices.empty())
-    Peers->sendTo(From, std::move(Missed));
+  if (!Outdated.Notices.empty())
+    Peers->sendTo(From, std::move(Outdated));
 }
 
-/// Tells all other nodes what is known of an upstream.
+/// Sends the limit of an upstream to all other nodes.
 void RateLimitService::announce(const Incarnation &Upstream) {
   RateLimitUpdate Update{{rateLimitNotice(State, Upstream)}};
   for (const std::string &Node : Members->ids()) {
@@ -60,7 +62,7 @@
 }
 
 void RateLimitService::tick() {
-  rateLimitsAge(
+  rateLimitsExpire(
       State,
       [this](const Incarnation &Upstream) {
         const auto &Entries = Upstreams->registry().Entries;
@@ -72,7 +74,7 @@
   RateLimitUpdate Update{rateLimitNotices(State, Timers->now())};
   if (Update.Notices.empty())
     return;
-  for (const std::string &Node : Members->randomIds(RemindedNodes))
+  for (const std::string &Node : Members->randomIds(NodesPerResend))
     Peers->sendTo(Node, Update);
 }
 
@@ -110,7 +112,7 @@
   case RateLimitChange::Invalid:
     return;
   }
-  for (const auto &Fn : Hear)
+  for (const auto &Fn : Subscribers)
     Fn(Upstream);
 }
 
--- a/src/rate_limit_service.h
+++ b/src/rate_limit_service.h
@@ -1,4 +1,4 @@
-/// \file rate_limit_service.h Keeps the limits that upstreams name.
+/// \file rate_limit_service.h Shares the rate limits that upstreams announce.
 #ifndef FULMARSTEP_RATE_LIMIT_SERVICE_H
 #define FULMARSTEP_RATE_LIMIT_SERVICE_H
 
@@ -12,37 +12,38 @@
 class PeerService;
 class UpstreamFeed;
 
-/// Counts for operators.
+/// Counters for metrics.
 struct RateLimitCounts {
-  std::uint64_t Named = 0; ///< Limits that were named, or changed.
-  std::uint64_t Sends = 0; ///< Requests sent to upstreams that name one.
+  std::uint64_t Named = 0; ///< Limits that were announced or changed.
+  std::uint64_t Sends = 0; ///< Requests sent to upstreams with a limit.
 };
 
-/// What upstreams say of the requests that they take from all nodes, shared
-/// between nodes: one that has not been told itself must not send either, and
-/// most nodes of a large fleet send to one upstream too seldom to hear of the
-/// end.
+/// Shares the rate limits that upstreams announce between nodes. A node that
+/// has not received the announcement itself must keep the limit as well, and
+/// most nodes of a large fleet send to one upstream too rarely to learn of the
+/// end of the limit.
 class RateLimitService : public Service {
 public:
   explicit RateLimitService(Kernel &K) : Services(K) {}
 
   void start() override;
 
-  /// An upstream has answered.
+  /// Processes a response of an upstream.
   void heard(const Incarnation &Upstream, const RateLimitAnswer &Answer);
-  /// A request goes to an upstream.
+  /// Counts a request that is sent to an upstream.
   void sent(const Incarnation &Upstream);
-  /// \return The limit that it names, requests a second; nothing: none.
+  /// \return The limit that an upstream announces, in requests per second;
+  /// empty: none.
   std::optional<double> of(const Incarnation &Upstream) const;
 
-  /// Calls \p Fn when what an upstream says has changed.
+  /// Calls \p Fn when the limit of an upstream has changed.
   void onChange(std::function<void(const Incarnation &)> Fn) {
-    Hear.push_back(std::move(Fn));
+    Subscribers.push_back(std::move(Fn));
   }
 
-  /// \return Upstreams that name a limit now.
+  /// \return The number of upstreams that announce a limit now.
   std::size_t size() const;
-  /// \return Counts so far.
+  /// \return The counters since the start of the node.
   const RateLimitCounts &counts() const { return Counts; }
 
 private:
@@ -53,14 +54,15 @@
   void announce(const Incarnation &Upstream);
   void tick();
 
-  Kernel &Services;                  ///< Finds the others.
-  TimerService *Timers = nullptr;    ///< Time.
-  PeerService *Peers = nullptr;      ///< Carries messages.
-  MemberService *Members = nullptr;  ///< Knows the nodes.
-  UpstreamFeed *Upstreams = nullptr; ///< Knows which upstreams are there.
-  std::vector<std::function<void(const Incarnation &)>> Hear; ///< Subscribers.
-  RateLimits State;                                           ///< Decides.
-  RateLimitCounts Counts; ///< For operators.
+  Kernel &Services;                  ///< Finds the other services.
+  TimerService *Timers = nullptr;    ///< Clock and timers.
+  PeerService *Peers = nullptr;      ///< Sends messages to nodes.
+  MemberService *Members = nullptr;  ///< Lists the nodes.
+  UpstreamFeed *Upstreams = nullptr; ///< Lists the upstreams.
+  std::vector<std::function<void(const Incarnation &)>>
+      Subscribers;        ///< Subscribers.
+  RateLimits State;       ///< Known limits.
+  RateLimitCounts Counts; ///< For metrics.
 };
 
 } // namespace fulmar
--- a/src/rate_limit_type.h
+++ b/src/rate_limit_type.h
@@ -1,4 +1,5 @@
-/// \file rate_limit_type.h How many requests a second upstreams say they take.
+/// \file rate_limit_type.h Messages between nodes about rate limits that
+/// upstreams announce.
 #ifndef FULMARSTEP_RATE_LIMIT_TYPE_H
 #define FULMARSTEP_RATE_LIMIT_TYPE_H
 
@@ -8,37 +9,37 @@
 
 namespace fulmar {
 
-/// Tells other nodes what this one knows of an upstream.
+/// Tells other nodes the rate limit that this one knows for an upstream.
 struct RateLimitNotice {
-  Incarnation Upstream;    ///< Which start.
-  std::uint32_t Round = 0; ///< Counts what it said; the latest holds.
-  bool Ended = false;      ///< It does not name a limit any more.
-  double PerSecond = 0;    ///< Requests a second, from all nodes together.
+  Incarnation Upstream;    ///< The upstream and its start.
+  std::uint32_t Round = 0; ///< Version of the limit; the highest one is valid.
+  bool Ended = false;      ///< The upstream no longer announces a limit.
+  double PerSecond = 0;    ///< Requests per second from all nodes together.
 };
 
-/// What a node knows of several.
+/// The rate limits of several upstreams.
 struct RateLimitUpdate {
-  std::vector<RateLimitNotice> Notices; ///< In no order.
+  std::vector<RateLimitNotice> Notices; ///< In no particular order.
 };
 
-/// Asks a node for its turn to send to an upstream.
+/// Asks another node to lend its turn to send to an upstream.
 struct TurnAsk {
-  std::uint64_t Serial = 0; ///< The asker's name for it.
-  Incarnation Upstream;     ///< Which start.
+  std::uint64_t Serial = 0; ///< Identifies the request at its sender.
+  Incarnation Upstream;     ///< The upstream and its start.
 };
 
 /// Answers a TurnAsk.
 struct TurnAnswer {
-  std::uint64_t Serial = 0; ///< As in the ask.
-  Incarnation Upstream;     ///< As in the ask.
-  bool Lent = false;        ///< The asker may send one request now.
+  std::uint64_t Serial = 0; ///< As in the TurnAsk.
+  Incarnation Upstream;     ///< As in the TurnAsk.
+  bool Lent = false; ///< The sender of the TurnAsk may send one request now.
 };
 
-/// What an answer, or another node, has changed.
+/// How a response or a message from another node changed a rate limit.
 enum class RateLimitChange {
-  None,    ///< Nothing, or too little to matter.
-  Named,   ///< The upstream names a limit, or another one.
-  Ended,   ///< It does not name one any more.
+  None,    ///< No change, or one within the tolerance.
+  Named,   ///< The upstream announces a new limit.
+  Ended,   ///< The upstream no longer announces a limit.
   Count,   ///< Number of changes.
   Invalid, ///< Not a change.
 };
--- a/src/send_pace.h
+++ b/src/send_pace.h
@@ -1,5 +1,5 @@
-/// \file send_pace.h When a node may send to an upstream that takes only a few
-/// requests a second from all nodes together.
+/// \file send_pace.h Divides the time between nodes that send to an upstream
+/// with a limit of a few requests per second for the whole fleet.
 #ifndef FULMARSTEP_SEND_PACE_H
 #define FULMARSTEP_SEND_PACE_H
 
@@ -10,66 +10,72 @@
 
 namespace fulmar {
 
-/// Part of what an upstream takes that all nodes together send. The rest is
-/// for nodes that know too few of the others and take too large a share.
+/// Fraction of an upstream's rate that all nodes together use. The rest is a
+/// reserve for nodes that know too few of the others and take too large a
+/// share.
 inline constexpr double PaceShare = 0.45;
-/// The same, where all nodes know the same ones.
+/// The same where all nodes have the same member list.
 inline constexpr double AgreedShare = 0.9;
-/// How long a node may make use of its turn, where an upstream bears so many
-/// requests in each second. Longer, and the turns of many nodes overlap;
-/// shorter, and most of them pass unused.
+/// Length of a node's turn at an upstream whose rate is counted over one
+/// second. With longer turns the turns of many nodes overlap; with shorter ones
+/// most turns pass unused.
 inline constexpr Duration ColdTurn = std::chrono::milliseconds(700);
-/// The same, where it takes so many a second over several seconds.
+/// The same where the rate is an average over several seconds.
 inline constexpr Duration RateLimitTurn = std::chrono::milliseconds(2500);
 
-/// How often and how long a node may send one request.
+/// Interval and length of the turns in each of which a node may send one
+/// request.
 struct PaceTurns {
-  Duration Interval{}; ///< Between two turns; zero: no pace is kept.
-  Duration Length{};   ///< Of a turn.
+  Duration Interval{}; ///< Between two turns; zero: no limit.
+  Duration Length{};   ///< Length of a turn.
 };
 
 /// This node's turns to send to one upstream.
 ///
-/// An upstream bears a few requests a second, from all nodes together. With a
-/// session that many ask for, each node alone sends little and the fleet far
-/// too much. So nodes take turns: no node has to be asked, and none has to be
-/// reached. A turn that is not used is lost. If nodes kept it, all of them
-/// would send at the moment when a session begins to be asked for.
+/// The upstream can take only a few requests per second from all nodes
+/// together. For a session that many callers request, each node alone sends
+/// little but the fleet far too much. So nodes take turns by the fleet time,
+/// without having to ask or reach another node. An unused turn is lost: if
+/// nodes saved their turns, all of them would send at the moment when requests
+/// for a session begin.
 struct SendPace {
-  PaceTurns Turns;      ///< How often it may send.
-  TimePoint Turn{};     ///< Begin of one of the turns.
-  TimePoint LastSent{}; ///< Of the latest request; zero: none yet.
+  PaceTurns Turns;       ///< Interval and length of the turns.
+  TimePoint TurnStart{}; ///< Beginning of one of the turns.
+  TimePoint LastSent{};  ///< When a request was last sent; zero: never.
 };
 
-/// \param PerSecond requests that the upstream takes; zero: no limit is known.
-/// \param Nodes the most that may send, this one included.
-/// \param Length of a turn.
-/// \param Share of what the upstream takes that all nodes together send.
+/// \return The turns of one node.
+/// \param PerSecond rate limit of the upstream; zero: no limit is known.
+/// \param Nodes the largest number of nodes that may send, this one included.
+/// \param Length the length of a turn.
+/// \param Share the fraction of the rate that all nodes together use.
 PaceTurns paceTurns(double PerSecond, double Nodes, Duration Length,
                     double Share = PaceShare);
 
-/// \return Where in the interval a node's turns begin, from 0 to 1. The turns
-/// of nodes that joined one after the other are spread evenly, whatever each of
-/// them knows of the others; and so are one node's turns at the upstreams of a
-/// pool.
-/// \param Number of the node: its incarnation, or its place among all nodes
-/// where they agree on who there is.
-/// \param Place of the upstream in its pool.
+/// \return The fraction of the interval, from 0 to 1, at which a node's turns
+/// begin. The turns of nodes that joined one after the other are spread evenly,
+/// regardless of what each of them knows about the others, and so are the turns
+/// of one node at the upstreams of a pool.
+/// \param Number the incarnation of the node, or its index among all nodes
+/// where they agree on the member list.
+/// \param Place the index of the upstream in its pool.
 double pacePhase(std::uint64_t Number, std::size_t Place);
 
-/// Sets the turns. \param Origin when the fleet's time was zero.
+/// Sets the turns.
+/// \param Origin the local time at which the fleet time was
+/// zero.
 void paceSet(SendPace &Pace, PaceTurns Turns, double Phase, TimePoint Origin);
 
-/// \return Whether it is this node's turn, used or not.
+/// \return Whether it is this node's turn, whether or not it was used.
 bool paceInTurn(const SendPace &Pace, TimePoint Now);
 
-/// \return Whether a request may be sent now.
+/// \return Whether a request may be sent at \p Now.
 bool paceAllows(const SendPace &Pace, TimePoint Now);
 
-/// \return When a request may be sent next.
+/// \return The earliest time from \p Now on at which a request may be sent.
 TimePoint paceNext(const SendPace &Pace, TimePoint Now);
 
-/// A request was sent.
+/// Records that a request was sent.
 inline void paceSent(SendPace &Pace, TimePoint Now) { Pace.LastSent = Now; }
 
 } // namespace fulmar
