--- a/src/restart.cpp
+++ b/src/restart.cpp
@@ -1,4 +1,5 @@
-/// \file restart.cpp What follows when an upstream starts again.
+/// \file restart.cpp Handles upstreams that restart under the same
+/// instance name.
 #include "restart_func.h"
 
 #include <algorithm>
@@ -9,7 +10,7 @@
 
 TimePoint startedAt(std::int64_t BornMs, WallMs Wall, TimePoint Now) {
   std::int64_t AgeMs = std::max<std::int64_t>(0, Wall - BornMs);
-  // Nothing of this node is older than its clock.
+  // Nothing that this node holds is older than its clock.
   Duration Age = std::min<Duration>(std::chrono::milliseconds(AgeMs),
                                     Now.time_since_epoch());
   return Now - Age;
@@ -29,8 +30,8 @@
   return Found;
 }
 
-/// Calls that the earlier start had may have run, and nobody is at work on
-/// them.
+/// Ends the calls that were sent to the earlier start. They may have run, but
+/// no process is working on them any more.
 static void endCalls(BatchPool &P, const UpstreamRestart &Restart,
                      TimePoint Now, BatchActions &Out) {
   std::vector<BatchCallId> Ended;
@@ -46,15 +47,15 @@
     batchCallEnded(P, Id, Lost, Now, Out);
 }
 
-/// Forgets the results that the earlier start kept.
+/// Removes the results that the earlier start held.
 /// \return Their handles.
 static std::vector<std::string> dropResults(BatchPool &P,
                                             const UpstreamRestart &Restart) {
   std::vector<std::string> Lost;
   for (const auto &[Handle, Kept] : P.Kept) {
-    TimePoint MadeAt = Kept.Until - P.Spec.ResultLife;
+    TimePoint StoredAt = Kept.Until - P.Spec.ResultLife;
     if (Kept.Upstream == Restart.Earlier.incarnation() &&
-        MadeAt < Restart.StartedAt)
+        StoredAt < Restart.StartedAt)
       Lost.push_back(Handle);
   }
   for (const std::string &Handle : Lost)
@@ -62,8 +63,8 @@
   return Lost;
 }
 
-/// Hands what the new start has got already over to it.
-static void moveToLater(BatchPool &P, const UpstreamRestart &Restart) {
+/// Assigns the remaining calls and results, which are the new start's, to it.
+static void moveToNewStart(BatchPool &P, const UpstreamRestart &Restart) {
   Incarnation Earlier = Restart.Earlier.incarnation();
   Incarnation Later = Restart.Later.incarnation();
   BatchUpstream &U = P.Upstreams[Later];
@@ -90,11 +91,11 @@
                     BatchActions &Out) {
   if (!P.Upstreams.count(Restart.Earlier.incarnation()))
     return;
-  // Nothing more is sent to it while its calls end.
+  // Nothing new is sent to the earlier start while its calls are ended.
   P.Upstreams[Restart.Earlier.incarnation()].Listed = false;
   std::vector<std::string> Lost = dropResults(P, Restart);
   endCalls(P, Restart, Now, Out);
-  moveToLater(P, Restart);
+  moveToNewStart(P, Restart);
   batchRemake(P, Lost, Now, Out);
 }
 
--- a/src/restart_func.h
+++ b/src/restart_func.h
@@ -1,11 +1,11 @@
-/// \file restart_func.h What follows when an upstream starts again under the
-/// name that it had.
+/// \file restart_func.h Handles upstreams that restart under the same instance
+/// name.
 ///
-/// Its results and connections are gone, and nothing says so: the list still
-/// names it, and an upstream that was cut off meanwhile never reset what it had
-/// open. Without this, calls wait for an answer that nobody is working on until
-/// their time-out, and results that are gone are given as inputs of the next
-/// stage, which fails at its turn.
+/// The results and connections of the earlier start are lost without a signal:
+/// the list still has the instance, and an upstream that was unreachable when
+/// it ended never reset its connections. Without this, calls wait until their
+/// timeout for a response that no process is working on, and lost results are
+/// passed as inputs to the next stage, which then fails as well.
 #ifndef FULMARSTEP_RESTART_FUNC_H
 #define FULMARSTEP_RESTART_FUNC_H
 
@@ -15,28 +15,30 @@
 
 namespace fulmar {
 
-/// An upstream has started again.
+/// A restart of an upstream.
 struct UpstreamRestart {
-  UpstreamEntry Earlier; ///< As it was listed until now.
-  UpstreamEntry Later;   ///< As it is listed now.
-  TimePoint StartedAt{}; ///< When it started, on this node's clock.
+  UpstreamEntry Earlier; ///< The entry that was listed until now.
+  UpstreamEntry Later;   ///< The entry that is listed now.
+  TimePoint
+      StartedAt{}; ///< Time of the restart on this node's monotonic clock.
 };
 
-/// \return When the start at \p BornMs was, on the monotonic clock. The list
-/// tells of a start a second later, and what this node got meanwhile is of the
-/// new one. A time of day that is ahead makes the start look longer ago, and
-/// less is given up; one that is behind makes it look like now, and some work
-/// of the new start is done again.
+/// Converts the start time \p BornMs to the monotonic clock. The list shows a
+/// start about a second late, and results that this node received in between
+/// are from the new start. If this node's wall clock is ahead, the start seems
+/// longer ago and less work is given up; if it is behind, the start seems to be
+/// now, and some work of the new start is repeated.
 TimePoint startedAt(std::int64_t BornMs, WallMs Wall, TimePoint Now);
 
-/// \return The upstreams of \p Listed that started again since \p Before.
+/// \return The upstreams of \p Listed with a later start than in \p Before.
 std::vector<UpstreamRestart>
 findRestarts(const std::map<std::string, UpstreamEntry> &Before,
              const std::map<std::string, UpstreamEntry> &Listed, WallMs Wall,
              TimePoint Now);
 
-/// Ends the calls that the earlier start had, and has the pieces made again
-/// whose results it kept; what was sent to the new start goes over to it.
+/// Ends the calls that were sent to the earlier start, and repeats the pieces
+/// whose results it held. Calls that were already sent to the new start are
+/// assigned to it.
 void batchRestarted(BatchPool &P, const UpstreamRestart &Restart, TimePoint Now,
                     BatchActions &Out);
 
--- a/tests/test_restart.cpp
+++ b/tests/test_restart.cpp
@@ -1,4 +1,4 @@
-/// \file test_restart.cpp Upstreams that start again under their name.
+/// \file test_restart.cpp Upstreams that restart under the same name.
 #include <catch2/catch.hpp>
 
 #include "batch_world.h"
@@ -24,7 +24,7 @@
   return Entry;
 }
 
-/// Starts an upstream of \p W again, \p Ago before now.
+/// Restarts an upstream of \p W, \p Ago before now.
 void restart(PoolWorld &W, const std::string &Instance, Duration Ago) {
   UpstreamRestart Restart;
   for (const auto &[Start, U] : W.P.Upstreams) {
@@ -42,18 +42,17 @@
 } // namespace
 
 SCENARIO("an upstream is listed with a later start") {
-  // Symptom: after an upstream crashed and came back within three heartbeats,
-  // its pieces failed for want of inputs that nobody could find.
-  // Sequence: its entry never left the list; a new start wrote it again, under
-  // the same key.
-  // Cause: the key alone was taken for the instance.
+  // Guards against pieces that fail for missing inputs after an upstream
+  // crashed and restarted within three heartbeats. Its entry never left the
+  // list, as the new start wrote it under the same key, and the key alone
+  // identified the instance.
   UpstreamRegistry Registry;
   UpstreamRegistry Other;
   registryRead(Registry, {entryOf("a", 100)}, TimePoint{seconds(1)});
   registryRead(Other, {entryOf("a", 100)}, TimePoint{seconds(1)});
   auto Before = Registry.Entries;
   REQUIRE(registryRead(Registry, {entryOf("a", 200)}, TimePoint{seconds(2)}));
-  THEN("that is a restart, and other nodes are told") {
+  THEN("that is a restart, and other nodes get the change") {
     auto Found =
         findRestarts(Before, Registry.Entries, 1200, TimePoint{seconds(3)});
     REQUIRE(Found.size() == 1);
@@ -65,7 +64,7 @@
     CHECK(registryApply(Other, *Change, TimePoint{seconds(2)}));
     CHECK(Other.Entries.at("a").BornMs == 200);
   }
-  THEN("what the earlier start wrote last changes nothing") {
+  THEN("a late write of the earlier start changes nothing") {
     UpstreamEntry Late = entryOf("a", 100);
     Late.Leaving = true;
     CHECK_FALSE(registryRead(Registry, {Late}, TimePoint{seconds(3)}));
@@ -77,7 +76,7 @@
     CHECK(findRestarts(Before, Registry.Entries, 1200, TimePoint{seconds(3)})
               .size() == 1);
   }
-  THEN("an outage of the list hides none") {
+  THEN("an outage of the list hides no restart") {
     registryRead(Registry, {}, TimePoint{seconds(9)});
     REQUIRE(Registry.Entries.count("a") == 1);
     auto Away = Registry.Entries;
@@ -87,20 +86,20 @@
   }
 }
 
-SCENARIO("when a start was, by a time of day that may be wrong") {
+SCENARIO("a start time is converted with a wall clock that may be wrong") {
   TimePoint Now{seconds(60)};
   CHECK(startedAt(10'000, 12'000, Now) == Now - seconds(2));
   CHECK(startedAt(10'000, 9'000, Now) == Now);
   CHECK(startedAt(10'000, 999'000, Now) == TimePoint{});
 }
 
-SCENARIO("a pool's upstream starts again under its name") {
+SCENARIO("a pool's upstream restarts under the same name") {
   PoolWorld W(1);
-  GIVEN("a call that it had") {
+  GIVEN("a call in flight to it") {
     std::uint64_t Id = W.ask(W.makeAsk(4));
     REQUIRE(W.Sent.size() == 1);
     W.Now += milliseconds(50);
-    THEN("its pieces are made again, not waited for") {
+    THEN("its pieces are run again at once") {
       restart(W, "i0", milliseconds(10));
       REQUIRE(W.Sent.size() == 2);
       CHECK(W.Sent[1].Upstream.Instance == "i0");
@@ -110,7 +109,7 @@
       CHECK(W.P.Upstreams.size() == 1);
       CHECK(W.P.Upstreams.begin()->second.InFlight == 0);
     }
-    THEN("a call that the new start got goes on") {
+    THEN("a call that was sent to the new start continues") {
       restart(W, "i0", milliseconds(60));
       CHECK(W.Sent.size() == 1);
       W.pass(milliseconds(400));
@@ -118,14 +117,14 @@
       CHECK(W.Sent.size() == 1);
     }
   }
-  GIVEN("results that it kept, of an ask that is not done") {
-    BatchRequest Ask = W.makeAsk(30); // Of a call's 24: two calls.
+  GIVEN("results that it holds for a request that is not complete") {
+    BatchRequest Ask = W.makeAsk(30); // At most 24 pieces a call: two calls.
     std::uint64_t Id = W.ask(Ask);
     W.pass(milliseconds(460));
     REQUIRE(W.Answers.count(Id) == 0);
     REQUIRE_FALSE(W.P.Kept.empty());
     restart(W, "i0", milliseconds(1));
-    THEN("they take no room, and are made again") {
+    THEN("they use no memory, and are computed again") {
       CHECK(W.P.Kept.empty());
       W.pass(seconds(2));
       REQUIRE(W.Answers.at(Id).End == BatchEnd::Done);
@@ -136,14 +135,14 @@
         CHECK(Kept.Upstream.BornMs == 1);
     }
   }
-  GIVEN("failures and slowness of before") {
+  GIVEN("failures and slowness of the earlier start") {
     BatchUpstream &U = W.P.Upstreams.begin()->second;
     U.Failures = 5;
     U.Slowness = 7;
     U.AvoidUntil = W.Now + seconds(9);
     U.RoomUsed = 2e6;
     restart(W, "i0", milliseconds(1));
-    THEN("they are forgotten") {
+    THEN("they are reset") {
       REQUIRE(W.P.Upstreams.size() == 1);
       const BatchUpstream &New = W.P.Upstreams.begin()->second;
       CHECK(New.Failures == 0);
@@ -154,7 +153,7 @@
   }
 }
 
-SCENARIO("an ejected upstream starts again under its name") {
+SCENARIO("an ejected upstream restarts under the same name") {
   Pool P;
   P.Spec.StartLimit = P.Spec.MaxLimit = 4;
   std::uint32_t LastId = 0;
@@ -164,25 +163,25 @@
   Spec.Start.BornMs = 200;
   Spec.Leaving = false;
   updateUpstreams(P, std::vector{Spec}, "z", LastId);
-  THEN("neither its ejection nor its leave binds the new start") {
+  THEN("neither ejection nor leaving applies to the new start") {
     REQUIRE(P.Upstreams.size() == 1);
     CHECK(upstreamEligible(P.Upstreams[0], RouterPolicy(),
                            TimePoint{seconds(1)}));
   }
 }
 
-SCENARIO("a request's upstream starts again under its name") {
-  // Symptom: a request waits for its whole time-out for an upstream that works
-  // on nothing; or its last stage finds that its inputs are gone.
-  // Sequence: the upstream crashed behind a cut, so its connections were never
-  // reset, and came back under its name before its entry expired.
-  // Cause: nothing but the listed time of its start tells of it.
+SCENARIO("a request's upstream restarts under the same name") {
+  // Guards against a request that waits until its timeout for an upstream that
+  // no longer works on it, or whose last stage finds its inputs missing. The
+  // upstream crashed during a network partition, so its connections were never
+  // reset, and restarted under the same name before its entry expired. Only the
+  // listed start time shows the restart.
   GatewayWorld W;
   W.TimeoutMs = 9000;
-  W.TargetMs = 4000; // Its silence alone is no reason to end an attempt.
+  W.TargetMs = 4000; // So that silence alone does not end an attempt.
   W.configure();
   W.BornMs = EventLoop::wallClock() - 60'000;
-  GIVEN("a run that is silent") {
+  GIVEN("a run without a response") {
     auto &Engine = W.addRunner("engine", {"e1", milliseconds(5), 3});
     W.addNode();
     Engine.Mode = platform::RunnerMode::Hangs;
@@ -193,7 +192,7 @@
     TimePoint Since = W.Timers.now();
     W.BornMs = EventLoop::wallClock() + 5;
     W.list("engine", "e1", "ready");
-    THEN("a stream that may be resumed goes on at the new start") {
+    THEN("a resumable stream continues at the new start") {
       runUntil(
           W.Loop, [&] { return Got->Ended; }, seconds(5));
       CHECK(Got->Answer.Status == 200);
@@ -218,7 +217,7 @@
       CHECK(W.runsOfLast() == 1);
     }
   }
-  GIVEN("a request whose first results are there, and that waits for more") {
+  GIVEN("a request that has its first results and waits for more") {
     W.CallMs = 1200;
     W.configure();
     W.addRunner("engine", {"e1", milliseconds(5), 3});
@@ -233,7 +232,7 @@
         W.Loop, [&] { return Batch.Pieces == 2; }, seconds(6));
     W.BornMs = EventLoop::wallClock() + 5;
     W.list("batch", "b1", "ready");
-    THEN("all its stages are done again, as none of its results is left") {
+    THEN("all its stages run again, as its results are lost") {
       runUntil(
           W.Loop, [&] { return Got->Ended; }, seconds(9));
       CHECK(Got->Answer.Status == 200);
@@ -242,13 +241,13 @@
   }
 }
 
-SCENARIO("a node starts again while another has pieces made for it") {
-  // Symptom: an engine is given the inputs of another request.
-  // Sequence: a node asks another one for pieces and is killed; it starts again
-  // under its id and asks for pieces of a new request; the other node answers
-  // with the result that it still has for the first.
-  // Cause: names of asks were counted from one again at each start, and the
-  // other node takes an ask under a name that it knows for a repeat.
+SCENARIO("a node restarts while another runs pieces for it") {
+  // Guards against an engine that gets the inputs of another request. A node
+  // requests pieces from another node and is killed. It restarts under the same
+  // id and requests pieces for a new request, and the other node responds with
+  // the result that it still has for the first one. Ids of batch requests
+  // started from one again at each start, and a batch request with a known id
+  // counts as a repetition.
   GatewayWorld W;
   W.TimeoutMs = W.TargetMs = 5000;
   RunnerShape Slow{"i-b"};
@@ -266,7 +265,7 @@
   GatewayNode &Coordinator = W.startNode(Ids[0]);
   runUntil(W.Loop, [&] { return Coordinator.gateway().ready(); });
   {
-    // A loop of its own, so that nothing is left of the process that is killed.
+    // A separate event loop, so that nothing of the killed process remains.
     TimerService Time;
     EventLoop Loop(Time);
     W.makeSettings(Ids[1]);
@@ -281,8 +280,8 @@
     W.send("/staged/x", Pieces, 1);
     REQUIRE(RunBoth([&] { return Batch.BatchCalls == 1; }));
   }
-  GatewayNode &Again = W.startNode(Ids[1]);
-  runUntil(W.Loop, [&] { return Again.gateway().ready(); });
+  GatewayNode &Restarted = W.startNode(Ids[1]);
+  runUntil(W.Loop, [&] { return Restarted.gateway().ready(); });
   auto Result = W.send("/staged/x", Pieces, 2);
   std::string Id = "r" + std::to_string(W.LastId);
   REQUIRE(runUntil(
