--- a/src/upstream.cpp
+++ b/src/upstream.cpp
@@ -1,4 +1,4 @@
-/// \file upstream.cpp Choosing, ejecting and readmitting upstreams.
+/// \file upstream.cpp Chooses and ejects upstreams of a pool.
 #include "upstream_func.h"
 
 #include <algorithm>
@@ -12,14 +12,14 @@
 
 static constexpr int FailuresToEject = 3;
 static constexpr Duration FirstEjection = std::chrono::seconds(1);
-static constexpr int MostDoublings = 5;
-/// Weight of the newest value in the smoothed latency.
+static constexpr int MaxEjectionDoublings = 5;
+/// Weight of the newest sample in the smoothed latency.
 static constexpr double LatencyGain = 0.2;
-/// Calls measured before an upstream can count as slow.
-static constexpr int SamplesToJudge = 5;
-/// A load report older than this is not used.
-static constexpr Duration ReportLife = std::chrono::seconds(2);
-/// Draws per wanted sample before the pool is searched in order.
+/// Latency samples that are needed before an upstream can count as slow.
+static constexpr int MinSamples = 5;
+/// Load reports that are older than this are ignored.
+static constexpr Duration LoadReportLifetime = std::chrono::seconds(2);
+/// Random draws per required sample before the pool is searched in order.
 static constexpr int DrawsPerSample = 3;
 
 Upstream *upstreamById(Pool &P, UpstreamId Id) {
@@ -35,23 +35,24 @@
                       TimePoint Now) {
   if (!U.Listed || U.Leaving)
     return false;
-  // One whose turn it is not is left out here and not only where there is no
-  // room, so that all requests of a session go to the same other.
+  // Outside this node's turn the upstream is not eligible, instead of merely
+  // without capacity, so that all requests of a session go to the same other
+  // upstream.
   if (Policy.KeepPace && !paceAllows(U.Pace, Now))
     return false;
   return !Policy.Ejection || U.EjectedUntil <= Now;
 }
 
-static bool hasRoom(const Upstream &U, const RouterPolicy &Policy) {
-  // A fixed limit does not bound the calls: the baseline leaves the queueing
-  // to the upstream, as a plain proxy would.
+static bool hasCapacity(const Upstream &U, const RouterPolicy &Policy) {
+  // The fixed limit rule applies only the upper bound: this baseline leaves
+  // queueing to the upstream, as a plain proxy does.
   return Policy.Limit == LimitRule::Fixed ? U.InFlight < U.Limit.Max
                                           : limitAllows(U.Limit, U.InFlight);
 }
 
 static bool usable(const Upstream &U, const RouterPolicy &Policy,
                    const ChoiceHints &Hints, TimePoint Now) {
-  if (!upstreamEligible(U, Policy, Now) || !hasRoom(U, Policy))
+  if (!upstreamEligible(U, Policy, Now) || !hasCapacity(U, Policy))
     return false;
   if (!Hints.Avoid)
     return true;
@@ -59,10 +60,11 @@
          Hints.Avoid->end();
 }
 
-/// The lower, the better: expected crowding, weighed with how slow it is.
+/// \return The expected load relative to the concurrency limit, weighted by the
+/// latency and by a factor for remote upstreams; lower is better.
 static double score(const Upstream &U, const RouterPolicy &Policy,
                     TimePoint Now) {
-  double Others = Now - U.ReportedAt < ReportLife ? U.OtherLoad : 0;
+  double Others = Now - U.ReportedAt < LoadReportLifetime ? U.OtherLoad : 0;
   double Load = (U.InFlight + 1 + Others) / std::max(1.0, U.Limit.Limit);
   return Load * U.LatencyRatio * (U.Local ? 1.0 : Policy.RemoteFactor);
 }
@@ -95,7 +97,7 @@
   return Best;
 }
 
-/// \return The mean of the calls in progress at the upstreams in use.
+/// \return The mean number of calls in flight at the eligible upstreams.
 static double meanInFlight(const Pool &P, const RouterPolicy &Policy,
                            TimePoint Now) {
   double Load = 0;
@@ -109,7 +111,8 @@
   return Load / std::max(1, Eligible);
 }
 
-/// The upstream that is likely to hold the prefix, while it is not crowded.
+/// \return The upstream that most likely has the prefix cached, unless it is
+/// overloaded.
 static std::optional<std::size_t> byAffinity(Pool &P,
                                              const RouterPolicy &Policy,
                                              const ChoiceHints &Hints,
@@ -117,11 +120,14 @@
   const Upstream *U = affineUpstream(P, Policy, Hints.Affinity, Now);
   if (!U || !usable(*U, Policy, Hints, Now))
     return std::nullopt;
-  double Most = Policy.AffinityBound * (meanInFlight(P, Policy, Now) + 1) +
-                Policy.AffinitySlack;
-  // Without a bound, one popular prefix would crowd one engine while the
-  // others are idle. A slow engine does not pay for its cache either.
-  if (U->InFlight + 1 > Most || U->LatencyRatio > Policy.LatencyTolerance)
+  double MaxInFlight =
+      Policy.AffinityBound * (meanInFlight(P, Policy, Now) + 1) +
+      Policy.AffinitySlack;
+  // Without a bound, one popular prefix would overload one engine while the
+  // others are idle. On a slow engine the cached prefix saves less than the
+  // latency costs.
+  if (U->InFlight + 1 > MaxInFlight ||
+      U->LatencyRatio > Policy.LatencyTolerance)
     return std::nullopt;
   return static_cast<std::size_t>(U - P.Upstreams.data());
 }
@@ -158,9 +164,9 @@
     return std::nullopt;
   switch (Policy.Choice) {
   case ChoiceRule::RoundRobin: {
-    auto Index = firstUsable(P, P.NextTurn, Policy, Hints, Now);
+    auto Index = firstUsable(P, P.NextIndex, Policy, Hints, Now);
     if (Index)
-      P.NextTurn = *Index + 1;
+      P.NextIndex = *Index + 1;
     return Index;
   }
   case ChoiceRule::Random:
@@ -180,7 +186,7 @@
 
 bool poolHasRoom(const Pool &P, const RouterPolicy &Policy, TimePoint Now) {
   for (const Upstream &U : P.Upstreams) {
-    if (hasRoom(U, Policy) && upstreamEligible(U, Policy, Now))
+    if (hasCapacity(U, Policy) && upstreamEligible(U, Policy, Now))
       return true;
   }
   return false;
@@ -199,7 +205,7 @@
                        const RouterPolicy &Policy, TimePoint Now) {
   U.Failures = 0;
   ++U.Samples;
-  if (U.Samples > 2 * SamplesToJudge)
+  if (U.Samples > 2 * MinSamples)
     U.Ejections = 0;
   if (Floor <= Duration::zero())
     return;
@@ -210,9 +216,9 @@
                    Took, Now);
 }
 
-/// \return Whether one more upstream may be left out. Never most of a pool: if
-/// most look bad, the fault is more likely ours, or the load's, and the few
-/// left would be crushed.
+/// \return Whether another upstream may be ejected. At most half of a pool is
+/// ejected: if most upstreams look faulty, the cause is more likely this node
+/// or the load, and the few that are left would be overloaded.
 static bool mayEject(const Pool &P, TimePoint Now) {
   std::size_t Listed = 0;
   std::size_t Ejected = 0;
@@ -230,9 +236,10 @@
   if (U.EjectedUntil > Now || !mayEject(P, Now))
     return;
   U.EjectedUntil =
-      Now + FirstEjection * (1 << std::min(U.Ejections, MostDoublings));
+      Now + FirstEjection * (1 << std::min(U.Ejections, MaxEjectionDoublings));
   ++U.Ejections;
-  // It comes back with one call at a time, and one failure sends it off again.
+  // After the ejection it gets one call at a time at first, and one failure
+  // ejects it again.
   U.Limit.Limit = 1;
   U.LatencyRatio = 1;
   U.Samples = 0;
@@ -249,9 +256,9 @@
 }
 
 void upstreamAbandoned(Upstream &U, Duration Elapsed, Duration Floor) {
-  // A slow upstream's calls are overtaken by hedges and cancelled. If only
-  // answered calls were measured, the slowest upstream would look like the
-  // ones that overtook it, and would keep getting its full share.
+  // Calls to a slow upstream are cancelled when their hedges complete first. If
+  // only completed calls counted as samples, the slowest upstream would seem as
+  // fast as the ones that ran the hedges, and would keep its full share.
   if (Floor <= Duration::zero())
     return;
   double Ratio = toMs(Elapsed) / toMs(Floor);
@@ -266,7 +273,7 @@
   for (const Upstream &U : P.Upstreams) {
     if (!U.Listed || U.Leaving)
       continue;
-    // One that was ejected and let in again keeps all but one of its failures.
+    // After an ejection an upstream still counts FailuresToEject - 1 failures.
     if (U.Failures < FailuresToEject - 1)
       return false;
     Any = true;
@@ -279,23 +286,23 @@
     return;
   std::vector<double> Ratios;
   for (const Upstream &U : P.Upstreams) {
-    if (upstreamEligible(U, Policy, Now) && U.Samples >= SamplesToJudge)
+    if (upstreamEligible(U, Policy, Now) && U.Samples >= MinSamples)
       Ratios.push_back(U.LatencyRatio);
   }
   if (Ratios.size() < 3)
     return;
-  auto Middle = Ratios.begin() + static_cast<std::ptrdiff_t>(Ratios.size() / 2);
-  std::nth_element(Ratios.begin(), Middle, Ratios.end());
-  double Bound = *Middle * Policy.SlowRatio;
+  auto Median = Ratios.begin() + static_cast<std::ptrdiff_t>(Ratios.size() / 2);
+  std::nth_element(Ratios.begin(), Median, Ratios.end());
+  double Bound = *Median * Policy.SlowRatio;
   for (Upstream &U : P.Upstreams) {
-    if (U.Samples >= SamplesToJudge && U.LatencyRatio > Bound)
+    if (U.Samples >= MinSamples && U.LatencyRatio > Bound)
       eject(P, U, Now);
   }
 }
 
-/// \return What names a start of an upstream from one list to the next. An
-/// address may be given to another upstream, and an upstream that starts again
-/// under its name has nothing in common with what was learnt of it before.
+/// \return The key that identifies a start of an upstream across lists. An
+/// address may be reassigned to another upstream, and after a restart under the
+/// same name nothing that was recorded for the earlier start applies.
 static Incarnation identity(const Incarnation &Start,
                             const std::string &Address) {
   return Start.Instance.empty() ? Incarnation{Address, 0} : Start;
@@ -309,7 +316,7 @@
   return identity(U.Start, U.Address);
 }
 
-/// Numbers the pool's upstreams as they are listed.
+/// Sets Upstream::Place to the index in \p Listed.
 static void setPlaces(Pool &P, std::span<const UpstreamSpec> Listed) {
   std::map<Incarnation, std::size_t> Places;
   for (const UpstreamSpec &Spec : Listed)
@@ -338,7 +345,7 @@
     Listed[I]->Place = I;
 }
 
-/// \return An upstream that has just been listed.
+/// \return The initial state of a newly listed upstream.
 static Upstream makeUpstream(const Pool &P, const UpstreamSpec &Spec,
                              const std::string &OwnDomain,
                              std::uint32_t &LastId) {
@@ -355,7 +362,7 @@
   return U;
 }
 
-/// Forgets upstreams that are not listed. Calls in progress still refer to one.
+/// Removes unlisted upstreams, except those that calls in flight refer to.
 static void dropUnlisted(Pool &P) {
   std::erase_if(P.Upstreams,
                 [](const Upstream &U) { return !U.Listed && U.InFlight == 0; });
@@ -364,7 +371,7 @@
                     [](const Upstream &U) { return !U.Listed; }));
 }
 
-/// Takes in what the list says of an upstream that is known.
+/// Updates a known upstream from its list entry.
 static Upstream &relist(Pool &P, Upstream &U, const UpstreamSpec &Spec) {
   P.PlacesStale = P.PlacesStale || !U.Listed;
   P.Unlisted -= U.Listed ? 0 : 1;
@@ -374,9 +381,9 @@
   return U;
 }
 
-Upstream &listUpstream(Pool &P, const UpstreamSpec &Spec, bool Fresh,
+Upstream &listUpstream(Pool &P, const UpstreamSpec &Spec, bool IsNew,
                        const std::string &OwnDomain, std::uint32_t &LastId) {
-  bool MayBeKnown = !Fresh || P.Unlisted > 0;
+  bool MayBeKnown = !IsNew || P.Unlisted > 0;
   if (MayBeKnown) {
     auto Known =
         std::find_if(P.Upstreams.begin(), P.Upstreams.end(),
--- a/src/upstream_base.h
+++ b/src/upstream_base.h
@@ -1,4 +1,4 @@
-/// \file upstream_base.h What a node knows of an upstream and of a pool.
+/// \file upstream_base.h State of upstreams and pools at one node.
 #ifndef FULMARSTEP_UPSTREAM_BASE_H
 #define FULMARSTEP_UPSTREAM_BASE_H
 
@@ -20,58 +20,58 @@
 struct UpstreamTag {};
 using UpstreamId = StrongId<UpstreamTag, std::uint32_t>; ///< Local to a node.
 
-/// An upstream as the host list gives it.
+/// An upstream as listed in the host list.
 struct UpstreamSpec {
   std::string Address;       ///< IP:PORT.
   std::string Pool;          ///< Pool it belongs to.
-  std::string FailureDomain; ///< Where it runs.
-  bool Leaving = false;      ///< Gets nothing new.
-  Incarnation Start;         ///< Which start; no instance: not known.
-  bool Cold = false;         ///< It has just started, and bears little.
+  std::string FailureDomain; ///< Failure domain it runs in.
+  bool Leaving = false;      ///< Gets no new work.
+  Incarnation Start;         ///< Its start; empty instance: unknown.
+  bool Cold = false;         ///< Just started, with reduced capacity.
 
   bool operator==(const UpstreamSpec &) const = default;
 };
 
-/// What a node knows of one upstream.
+/// State of one upstream at this node.
 struct Upstream {
-  UpstreamId Id;             ///< Local name.
+  UpstreamId Id;             ///< Unique within this node.
   std::string Address;       ///< IP:PORT.
-  Incarnation Start;         ///< Which start; no instance: not known.
-  std::string FailureDomain; ///< Where it runs.
+  Incarnation Start;         ///< Its start; empty instance: unknown.
+  std::string FailureDomain; ///< Failure domain it runs in.
   bool Listed = true;        ///< Still in the host list.
-  bool Leaving = false;      ///< Gets nothing new.
-  bool Cold = false;         ///< It has just started, and bears little.
-  SendPace Pace;             ///< While it takes little.
-  std::size_t Place = 0;     ///< In the pool's list.
-  TimePoint NextAsk{};       ///< For another node's turn; not before then.
+  bool Leaving = false;      ///< Gets no new work.
+  bool Cold = false;         ///< Just started, with reduced capacity.
+  SendPace Pace;             ///< Turns to send while its rate is limited.
+  std::size_t Place = 0;     ///< Index in the pool's list.
+  TimePoint NextAsk{};       ///< Earliest time to ask a node for its turn.
   bool Local = false;        ///< In this node's failure domain.
-  int InFlight = 0;          ///< Calls of this node.
-  ConcurrencyLimit Limit;    ///< Calls at once.
+  int InFlight = 0;          ///< Calls of this node in flight.
+  ConcurrencyLimit Limit;    ///< Limit on InFlight.
   double LatencyRatio = 1;   ///< Smoothed latency over the stage's floor.
-  int Samples = 0;           ///< Calls measured since it was let in.
-  int Failures = 0;          ///< In a row.
-  int Ejections = 0;         ///< In a row; each doubles the next one's time.
-  TimePoint EjectedUntil{};  ///< Left out until then.
-  double OtherLoad = 0;      ///< Reported calls of others.
-  TimePoint ReportedAt{};    ///< When that was reported.
+  int Samples = 0;           ///< Latency samples since the latest ejection.
+  int Failures = 0;          ///< Consecutive failures.
+  int Ejections = 0;         ///< Consecutive; each doubles the next one's time.
+  TimePoint EjectedUntil{};  ///< Not used before this time.
+  double OtherLoad = 0;      ///< Calls of other nodes, as it reported.
+  TimePoint ReportedAt{};    ///< When OtherLoad was reported.
 };
 
-/// A pool, its upstreams and the calls that wait for it.
+/// A pool, its upstreams and the calls that are queued for it.
 struct Pool {
   PoolSpec Spec;                   ///< From the bundle.
   bool Declared = false;           ///< In the bundle in force.
-  std::vector<Upstream> Upstreams; ///< Listed, and unlisted with calls left.
-  std::size_t Unlisted = 0;        ///< Of them those with calls left.
-  bool PlacesStale = false;        ///< Upstream::Place is not up to date.
-  FairQueue Queue;                 ///< Waiting calls.
-  std::size_t NextTurn = 0;        ///< For round robin.
-  TimePoint NextProbe{};           ///< While down: when one more may try.
+  std::vector<Upstream> Upstreams; ///< Listed, or with calls in flight.
+  std::size_t Unlisted = 0;        ///< Unlisted ones with calls in flight.
+  bool PlacesStale = false;        ///< Upstream::Place must be recomputed.
+  FairQueue Queue;                 ///< Queued calls.
+  std::size_t NextIndex = 0;       ///< Next upstream for round robin.
+  TimePoint NextProbe{};           ///< While down: time of the next probe call.
 };
 
-/// What is asked of a choice.
+/// Preferences for the choice of an upstream.
 struct ChoiceHints {
-  std::uint64_t Affinity = 0; ///< Hash of the prefix; 0: none.
-  const std::vector<UpstreamId> *Avoid = nullptr; ///< Tried already.
+  std::uint64_t Affinity = 0; ///< Hash of the prompt prefix; 0: none.
+  const std::vector<UpstreamId> *Avoid = nullptr; ///< Already tried.
 };
 
 } // namespace fulmar
--- a/src/upstream_call.cpp
+++ b/src/upstream_call.cpp
@@ -1,5 +1,5 @@
-/// \file upstream_call.cpp One attempt on the wire: completions with streaming
-/// for engines, HTTP and JSON for the others.
+/// \file upstream_call.cpp Sends one attempt to an upstream: streamed
+/// completions for engines, JSON over HTTP for the others.
 #include "upstream_call.h"
 
 #include "json_func.h"
@@ -36,7 +36,7 @@
                            UpstreamCallbacks On)
     : Client(C), Action(std::move(A)), Callbacks(std::move(On)) {}
 
-static Json bodyOf(const DispatchAction &Action) {
+static Json makeBody(const DispatchAction &Action) {
   Json Body;
   Body.set("stage", Action.Stage);
   if (Action.Kind != PoolKind::Engine) {
@@ -54,7 +54,7 @@
   Http.Address = Action.Address;
   Http.Path = Action.Kind == PoolKind::Engine ? "/v1/completions" : Action.Path;
   Http.Timeout = Action.Budget;
-  Http.Body = writeJson(bodyOf(Action));
+  Http.Body = writeJson(makeBody(Action));
   auto Ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(Action.Budget);
   Http.Headers = {{"Content-Type", "application/json"},
@@ -63,9 +63,9 @@
                   {header::Organisation, Action.Organisation},
                   {header::DeadlineMs, std::to_string(Ms.count())}};
   if (!Action.Idempotent) {
-    // A kept connection that the peer has just closed takes our bytes and
-    // loses them, and nobody can tell whether they were read. On a new one,
-    // a peer that is gone refuses the connection, before any byte is sent.
+    // On a reused connection that the peer has just closed, sent bytes are
+    // lost, and it is unknown whether the peer read them. On a new connection,
+    // a peer that has ended refuses the connection before any byte is sent.
     Http.Reuse = HttpReuse::Fresh;
     Http.Headers.push_back({header::IdempotencyKey, Action.RequestId});
   }
@@ -118,7 +118,7 @@
     Result.Message = "stream is not the completions protocol";
     return;
   }
-  // The end mark alone proves that no tail was lost: a connection that is
+  // Only the end mark proves that the stream is complete: a connection that is
   // closed early can look like the end of a body.
   if (!Done || !Finished) {
     Result.End = AttemptEnd::Cut;
--- a/src/upstream_call.h
+++ b/src/upstream_call.h
@@ -1,4 +1,4 @@
-/// \file upstream_call.h One attempt on the wire.
+/// \file upstream_call.h Sends one attempt to an upstream.
 #ifndef FULMARSTEP_UPSTREAM_CALL_H
 #define FULMARSTEP_UPSTREAM_CALL_H
 
@@ -9,31 +9,32 @@
 
 namespace fulmar {
 
-/// Reads server-sent events from chunks that may split them anywhere.
+/// Parses server-sent events from chunks that may split them anywhere.
 struct EventReader {
-  std::string Rest; ///< An incomplete line.
+  std::string Rest; ///< Incomplete last line.
 
-  /// Adds a chunk and calls \p Fn with the data of each whole line of data.
+  /// Adds a chunk and calls \p Fn with the data of each complete data line.
   void feed(std::string_view Chunk,
             const std::function<void(std::string_view)> &Fn);
 };
 
-/// Who hears about an attempt.
+/// Callbacks of an attempt.
 struct UpstreamCallbacks {
-  std::function<void()> OnSent;                  ///< A byte may have got there.
-  std::function<void(std::string_view)> OnToken; ///< A token of an engine.
-  std::function<void(const AttemptResult &)> OnEnd; ///< The end; called once.
+  std::function<void()> OnSent; ///< A byte may have been received.
+  std::function<void(std::string_view)> OnToken; ///< An engine sent a token.
+  std::function<void(const AttemptResult &)>
+      OnEnd; ///< The attempt ended; called once.
 };
 
-/// One attempt: builds the call, reads the answer.
+/// One attempt: sends the HTTP request and parses the response.
 class UpstreamCall : public std::enable_shared_from_this<UpstreamCall> {
 public:
   UpstreamCall(HttpClient &Client, DispatchAction Action,
                UpstreamCallbacks Callbacks);
 
-  /// Sends it.
+  /// Sends the request.
   void start();
-  /// Closes it; no callback is run any more.
+  /// Cancels the call; no callback runs after this.
   void cancel();
 
 private:
@@ -44,16 +45,16 @@
   void readStage(const HttpAnswer &Answer, AttemptResult &Result);
   void readEngine(AttemptResult &Result);
 
-  HttpClient &Client;          ///< Makes the call.
-  DispatchAction Action;       ///< What to send.
-  UpstreamCallbacks Callbacks; ///< Who hears.
-  HttpCallId Call;             ///< Its name.
-  EventReader Events;          ///< Of an engine's stream.
-  std::string Output;          ///< Tokens so far.
-  std::int64_t Tokens = 0;     ///< Their number.
-  bool Finished = false;       ///< A finish_reason came.
-  bool Done = false;           ///< The end mark came.
-  bool Damaged = false;        ///< Something that is not the protocol came.
+  HttpClient &Client;          ///< Sends the call.
+  DispatchAction Action;       ///< Content of the request.
+  UpstreamCallbacks Callbacks; ///< Callbacks of the caller.
+  HttpCallId Call;             ///< The HTTP call in flight.
+  EventReader Events;          ///< Parses an engine's stream.
+  std::string Output;          ///< Text of the tokens received so far.
+  std::int64_t Tokens = 0;     ///< Number of tokens received so far.
+  bool Finished = false;       ///< A finish_reason was received.
+  bool Done = false;           ///< The end mark was received.
+  bool Damaged = false;        ///< The stream violated the protocol.
 };
 
 } // namespace fulmar
--- a/src/upstream_feed.cpp
+++ b/src/upstream_feed.cpp
@@ -1,4 +1,4 @@
-/// \file upstream_feed.cpp Follows the list of upstreams.
+/// \file upstream_feed.cpp Keeps the list of upstreams up to date.
 #include "upstream_feed.h"
 
 #include <utility>
@@ -9,28 +9,31 @@
 
 namespace fulmar {
 
-/// Without word from a reader for this long, a node reads the list itself. An
-/// upstream that leaves must get nothing new 2 s after its entry says so; the
-/// rest is for a read that is slow.
-static constexpr Duration SyncPatience = std::chrono::milliseconds(900);
-/// The same where it has no list yet, and until it asks again.
-static constexpr Duration FirstPatience = std::chrono::milliseconds(100);
-/// In a large fleet, nodes that hear nothing go on asking others for this long,
-/// and for as many times the longer as the fleet has nodes: its list is long,
-/// and all nodes lose the service together. They would fill its link.
-static constexpr Duration LargePatience = std::chrono::seconds(4);
-static constexpr Duration PatiencePerNode = std::chrono::milliseconds(50);
-/// Until such a node asks again.
-static constexpr Duration AskAgain = std::chrono::milliseconds(200);
-/// A reader whose list is older than this has lost the service.
-static constexpr Duration MostSyncedAge = std::chrono::milliseconds(1300);
-/// Without an answer that compares the parts of the list for this long, a node
-/// reads all of it.
-static constexpr Duration ComparePatience = std::chrono::milliseconds(650);
-/// Each pause varies by this part, so that nodes do not read together.
-static constexpr double Spread = 0.3;
-/// Changes that are logged one by one; more at once are counted.
-static constexpr std::size_t MostLogged = 100;
+/// Without news from a node that reads the list for this long, a node reads the
+/// list itself or asks for it. An upstream must get no new work 2 s after its
+/// entry is marked as leaving; the rest of that time is for a slow read.
+static constexpr Duration SyncTimeout = std::chrono::milliseconds(900);
+/// The same for a node that has no list yet, and its interval between requests.
+static constexpr Duration FirstSyncTimeout = std::chrono::milliseconds(100);
+/// In a large fleet, nodes without news keep asking other nodes for this long
+/// plus a random part of LocalReadDelayPerNode for each node. Its list is long
+/// and all nodes lose the store at the same time, so their reads would saturate
+/// the link of the store.
+static constexpr Duration LocalReadDelay = std::chrono::seconds(4);
+static constexpr Duration LocalReadDelayPerNode = std::chrono::milliseconds(50);
+/// Interval between the requests of such a node.
+static constexpr Duration AskInterval = std::chrono::milliseconds(200);
+/// A node that reads the list and whose list is older has lost the store.
+static constexpr Duration MaxSyncedAge = std::chrono::milliseconds(1300);
+/// Without a response to a comparison by buckets for this long, a node reads
+/// the whole list.
+static constexpr Duration CompareTimeout = std::chrono::milliseconds(650);
+/// Each delay varies by this fraction, so that nodes do not read at the same
+/// time.
+static constexpr double Jitter = 0.3;
+/// Largest number of changes that are logged one by one; of more only counts
+/// are logged.
+static constexpr std::size_t MaxLoggedChanges = 100;
 
 UpstreamFeed::UpstreamFeed(Kernel &K, const WireFormat &W, std::uint64_t Seed)
     : Services(K), Wire(W), Rng(Seed) {}
@@ -46,7 +49,7 @@
   Readers->onBegin([this] { begin(); });
 }
 
-/// Reads the list for the first time, or asks for it.
+/// Reads the list for the first time, or asks other nodes for it.
 void UpstreamFeed::begin() {
   if (std::exchange(Begun, true))
     return;
@@ -54,105 +57,107 @@
   if (Readers->reads() || !Readers->leavesReading())
     return read();
   Readers->ask();
-  readAfter(FirstPatience);
+  readAfter(FirstSyncTimeout);
 }
 
-/// The list is recent now.
+/// Records that the list is recent.
 void UpstreamFeed::heardNow() {
   HeardAt = Timers->now();
-  OwnReadAfter = LargePatience + fromMs(toMs(PatiencePerNode) *
-                                        static_cast<double>(Readers->nodes()) *
-                                        randomUnit(Rng));
+  OwnReadAfter = LocalReadDelay + fromMs(toMs(LocalReadDelayPerNode) *
+                                         static_cast<double>(Readers->nodes()) *
+                                         randomUnit(Rng));
 }
 
-/// Nobody has told of the list for a while.
-void UpstreamFeed::due() {
+/// Reads the list or asks other nodes for it, after a time without news.
+void UpstreamFeed::onReadDue() {
   if (Readers->reads() || !Readers->leavesReading() ||
       Timers->now() - HeardAt > OwnReadAfter)
     return read();
   Readers->ask();
-  readAfter(AskAgain);
+  readAfter(AskInterval);
 }
 
-Duration UpstreamFeed::spread(Duration Pause) {
-  return fromMs(toMs(Pause) * (1 - Spread / 2 + Spread * randomUnit(Rng)));
+Duration UpstreamFeed::addJitter(Duration Pause) {
+  return fromMs(toMs(Pause) * (1 - Jitter / 2 + Jitter * randomUnit(Rng)));
 }
 
 void UpstreamFeed::readAfter(Duration Pause) {
   Timers->cancel(NextRead);
-  NextRead = Timers->after(spread(Pause), [this] {
+  NextRead = Timers->after(addJitter(Pause), [this] {
     NextRead = TimerId{};
-    due();
+    onReadDue();
   });
 }
 
-/// Takes in what a reader knows. While its list was read lately, this node need
-/// not read it: each change would otherwise be read by the whole fleet.
+/// Processes the list state of a node that reads the list. If its list was read
+/// recently, this node need not read the store; otherwise the whole fleet would
+/// read each change.
 void UpstreamFeed::synced(const StateSync &Heard) {
   const StateSyncResponse &Answer = Heard.Answer;
-  if (NextRead == TimerId{} || Answer.ListAge > MostSyncedAge)
+  if (NextRead == TimerId{} || Answer.ListAge > MaxSyncedAge)
     return;
   TimePoint ReadAt = Heard.AskedAt - Answer.ListAge;
   if (Answer.ListDigest != Registry.Digest) {
-    // An older list would bring back upstreams that are known to leave.
+    // An older list would restore upstreams that are known to be leaving.
     if (Registry.Known && ReadAt <= Registry.ReadAt)
       return;
-    if (!takeChange(Answer, ReadAt))
-      return fellBehind();
-    // The rest of a change that is too long for one answer.
+    if (!applyChange(Answer, ReadAt))
+      return compareBuckets();
+    // The change is too large for one response; the rest follows.
     if (Answer.More)
-      return readAfter(SyncPatience);
+      return readAfter(SyncTimeout);
     if (Registry.Digest != Answer.ListDigest)
       return Readers->ask();
   }
   Behind = false;
   Registry.ReadAt = std::max(Registry.ReadAt, ReadAt);
   heardNow();
-  readAfter(SyncPatience);
+  readAfter(SyncTimeout);
 }
 
-/// \return Whether a reader's change leads on from this node's list.
-bool UpstreamFeed::takeChange(const StateSyncResponse &Answer,
-                              TimePoint ReadAt) {
+/// Applies the change in a response.
+/// \return Whether it starts from this node's list.
+bool UpstreamFeed::applyChange(const StateSyncResponse &Answer,
+                               TimePoint ReadAt) {
   if (!Answer.ListChange)
     return false;
   bool Whole = Answer.ListChange->To == Answer.ListDigest;
   if (!registryApply(Registry, *Answer.ListChange,
                      Whole ? ReadAt : Registry.ReadAt, Whole))
     return false;
-  // A list of which parts are missing is not to be chosen from.
+  // An incomplete list must not be used to choose upstreams.
   if (Registry.Known)
     changed();
   return true;
 }
 
-/// No change that a reader tells begins at this node's list: it was read at
-/// another moment. Reading it again would give one more such list, and in a
-/// large fleet that changes all the time every node would go on reading all of
-/// it. So the lists are compared by parts; a reader that does not answer leaves
-/// the read that is due.
-void UpstreamFeed::fellBehind() {
+/// Compares the lists by buckets, after a response without a change that starts
+/// from this node's list, which was read at another moment. Reading it again
+/// would give one more such list, and in a large fleet that changes all the
+/// time every node would keep reading the whole list. If no response comes, the
+/// read that is scheduled takes place.
+void UpstreamFeed::compareBuckets() {
   if (Readers->leavesReading()) {
-    // An answer to an earlier question leads on from an earlier list.
+    // A response to an earlier request starts from an earlier list.
     Behind = true;
     return;
   }
   if (Behind || !Registry.Known)
     return readAfter(Duration::zero());
   Behind = true;
-  readAfter(ComparePatience);
+  readAfter(CompareTimeout);
   Readers->ask();
 }
 
 void UpstreamFeed::changed() {
   UpstreamChanges Latest = std::exchange(Registry.Untold, {});
   logChanges(Latest);
-  tellRestarts(Latest);
+  reportRestarts(Latest);
   for (const ChangeFn &Fn : Changes)
     Fn(Latest);
 }
 
-void UpstreamFeed::tellRestarts(const UpstreamChanges &Latest) const {
+void UpstreamFeed::reportRestarts(const UpstreamChanges &Latest) const {
   std::map<std::string, UpstreamEntry> Before;
   std::map<std::string, UpstreamEntry> After;
   for (const UpstreamChange &Change : Latest) {
@@ -173,7 +178,6 @@
   }
 }
 
-/// Logs one change.
 static void logChange(const UpstreamChange &Change) {
   const UpstreamEntry &Entry = Change.After ? *Change.After : *Change.Before;
   auto Log = [&](std::string_view State) {
@@ -194,7 +198,7 @@
 }
 
 void UpstreamFeed::logChanges(const UpstreamChanges &Latest) const {
-  if (Latest.size() <= MostLogged) {
+  if (Latest.size() <= MaxLoggedChanges) {
     for (const UpstreamChange &Change : Latest)
       logChange(Change);
     return;
--- a/src/upstream_feed.h
+++ b/src/upstream_feed.h
@@ -1,4 +1,4 @@
-/// \file upstream_feed.h Follows the list of upstreams.
+/// \file upstream_feed.h Keeps the list of upstreams up to date.
 #ifndef FULMARSTEP_UPSTREAM_FEED_H
 #define FULMARSTEP_UPSTREAM_FEED_H
 
@@ -15,74 +15,75 @@
 
 namespace fulmar {
 
-/// Reads the list of upstreams again and again.
+/// Keeps the list of upstreams up to date, from the store or from other nodes.
 class UpstreamFeed : public Service {
 public:
   UpstreamFeed(Kernel &K, const WireFormat &W, std::uint64_t Seed);
 
   void start() override;
 
-  /// Hears what has changed in the list.
+  /// Called with the changes of the list.
   using ChangeFn = std::function<void(const UpstreamChanges &)>;
   /// Calls \p Fn whenever entries change.
   void onChange(ChangeFn Fn) { Changes.push_back(std::move(Fn)); }
 
-  /// Calls \p Fn when an upstream has started again, before the change is told.
+  /// Calls \p Fn when an upstream has restarted, before the change is reported.
   void onRestart(std::function<void(const UpstreamRestart &)> Fn) {
     Restarts.push_back(std::move(Fn));
   }
 
-  /// \return What is listed.
+  /// \return The current list.
   const UpstreamRegistry &registry() const { return Registry; }
-  /// \return Whether other nodes' changes do not lead on from this node's list.
+  /// \return Whether the changes of other nodes do not start from this node's
+  /// list.
   bool behind() const { return Behind; }
-  /// \return Entries of the latest read that name no upstream to use.
+  /// \return The number of entries of the latest read that could not be parsed.
   std::size_t unreadable() const { return Unreadable.size(); }
 
 private:
-  // upstream_feed.cpp: what is known, and who is told.
+  // upstream_feed.cpp: syncing with other nodes, and notifying subscribers.
   void begin();
-  void due();
+  void onReadDue();
   void readAfter(Duration Pause);
-  Duration spread(Duration Pause);
+  Duration addJitter(Duration Pause);
   void heardNow();
   void synced(const StateSync &Heard);
-  bool takeChange(const StateSyncResponse &Answer, TimePoint ReadAt);
-  void fellBehind();
+  bool applyChange(const StateSyncResponse &Answer, TimePoint ReadAt);
+  void compareBuckets();
   void changed();
-  void tellRestarts(const UpstreamChanges &Latest) const;
+  void reportRestarts(const UpstreamChanges &Latest) const;
   void logChanges(const UpstreamChanges &Latest) const;
 
   // upstream_feed_read.cpp: reading the key-value service.
   void read();
   void readWhole();
   void readFailed(const std::string &Why);
-  void answered(const KvItems &Found);
+  void onListRead(const KvItems &Found);
   bool mayFollow() const;
   void follow();
-  void takeEvents(const std::vector<KvItem> &Events, TimePoint Sent);
+  void applyEvents(const std::vector<KvItem> &Events, TimePoint Sent);
   std::optional<UpstreamEntry>
   readEntry(const KvItem &Item, std::map<std::string, std::string> &Bad);
 
-  Kernel &Services;                    ///< Finds the others.
-  const WireFormat &Wire;              ///< Reads entries.
-  Random Rng;                          ///< Spreads reads.
-  TimerService *Timers = nullptr;      ///< Time.
+  Kernel &Services;                    ///< Finds the other services.
+  const WireFormat &Wire;              ///< Parses entries.
+  Random Rng;                          ///< Jitter of reads.
+  TimerService *Timers = nullptr;      ///< Clock and timers.
   KvTree *Tree = nullptr;              ///< The key-value service.
-  UpstreamRegistry Registry;           ///< What is listed.
-  StateSyncService *Readers = nullptr; ///< Tells what others read.
-  TimerId NextRead;                    ///< Of our own; none: one is under way.
-  TimePoint HeardAt{};        ///< When the list was known to be recent.
-  Duration OwnReadAfter{};    ///< Without word, this node reads itself then.
-  bool Behind = false;        ///< Parts of the list are compared, not changes.
-  std::uint64_t Revision = 0; ///< Changes up to it are in the list; 0: none.
-  TimePoint WholeAt{};        ///< When all of the list was read.
-  bool Begun = false;         ///< It was read, or asked for.
-  int Failures = 0;           ///< Reads in a row that failed.
-  std::map<std::string, std::string> Unreadable; ///< Why, by key.
-  std::vector<ChangeFn> Changes;                 ///< Subscribers.
-  std::vector<std::function<void(const UpstreamRestart &)>>
-      Restarts; ///< Subscribers.
+  UpstreamRegistry Registry;           ///< The current list.
+  StateSyncService *Readers = nullptr; ///< Syncs lists with other nodes.
+  TimerId NextRead;        ///< Timer of the next read; none: a read is running.
+  TimePoint HeardAt{};     ///< When the list was last known to be recent.
+  Duration OwnReadAfter{}; ///< Without news for this long, read the store.
+  bool Behind = false;     ///< Buckets are compared instead of changes.
+  std::uint64_t Revision = 0; ///< Revision of the list; 0: unknown.
+  TimePoint WholeAt{};        ///< When the whole list was last read.
+  bool Begun = false;         ///< A first read or sync was started.
+  int Failures = 0;           ///< Consecutive failed reads.
+  std::map<std::string, std::string> Unreadable; ///< Errors of entries, by key.
+  std::vector<ChangeFn> Changes;                 ///< Subscribers to changes.
+  /// Subscribers to restarts.
+  std::vector<std::function<void(const UpstreamRestart &)>> Restarts;
 };
 
 } // namespace fulmar
--- a/src/upstream_feed_read.cpp
+++ b/src/upstream_feed_read.cpp
@@ -7,24 +7,27 @@
 
 namespace fulmar {
 
-/// Between two reads of a short list. An upstream that leaves must get nothing
-/// new 2 s after its entry says so; the rest is for a read that is slow.
+/// Interval between two reads of a short list. An upstream must get no new work
+/// 2 s after its entry is marked as leaving; the rest of that time is for a
+/// slow read.
 static constexpr Duration ReadPeriod = std::chrono::milliseconds(900);
-/// A list of so many upstreams is followed by its changes, by waits of this
-/// length, and read whole once in a while, as a check.
+/// From this number of upstreams on, a list is updated by watching for changes.
+/// Each watch waits for FollowWait, and the whole list is read every
+/// WholePeriod as a check.
 static constexpr std::size_t LongList = 500;
 static constexpr Duration FollowWait = std::chrono::milliseconds(500);
 static constexpr Duration WholePeriod = std::chrono::seconds(60);
-/// Between two waits. Of a release of many upstreams each change would
-/// otherwise end a wait of its own.
-static constexpr Duration FollowPause = std::chrono::milliseconds(100);
-/// After a read that was not gone on with, as the list is long and others read.
-static constexpr Duration FirstPause = std::chrono::milliseconds(100);
-/// Before a failed read is repeated.
-static constexpr Duration RetryPause = std::chrono::milliseconds(150);
-/// Entries of one read that are logged as unreadable; a program that fills the
-/// prefix with its own must not fill the log.
-static constexpr std::size_t MostLoggedUnreadable = 20;
+/// Delay between two watches. Otherwise, during a release of many upstreams,
+/// each change would end a separate watch.
+static constexpr Duration FollowDelay = std::chrono::milliseconds(100);
+/// Delay after a read that was stopped because the list is long and other nodes
+/// read it.
+static constexpr Duration StoppedReadDelay = std::chrono::milliseconds(100);
+/// Delay before a failed read is repeated.
+static constexpr Duration RetryDelay = std::chrono::milliseconds(150);
+/// Largest number of unreadable entries of one read that are logged, so that a
+/// program that fills the prefix with its own entries does not fill the log.
+static constexpr std::size_t MaxLoggedUnreadable = 20;
 
 void UpstreamFeed::read() { mayFollow() ? follow() : readWhole(); }
 
@@ -35,13 +38,13 @@
       return readFailed(Found.Why);
     if (Found.Partial) {
       Begun = Readers->settled();
-      return readAfter(FirstPause);
+      return readAfter(StoppedReadDelay);
     }
     Revision = Found.Revision;
     WholeAt = Sent;
-    answered(Found);
+    onListRead(Found);
     heardNow();
-    readAfter(mayFollow() ? FollowPause : ReadPeriod);
+    readAfter(mayFollow() ? FollowDelay : ReadPeriod);
   };
   Tree->range(Wire.upstreamsPrefix(), Done,
               [this](const KvItems &) { return Readers->mayReadMuch(); });
@@ -52,21 +55,22 @@
   if (Failures++ == 0)
     logEvent(LogLevel::Warning, "upstream_list_lost",
              {{"why", Why}, {"listed", Registry.Entries.size()}});
-  // Other nodes may know more meanwhile.
+  // Other nodes may have a newer list by now.
   if (Readers->leavesReading())
     heardNow();
-  readAfter(RetryPause * Readers->retryFactor());
+  readAfter(RetryDelay * Readers->retryFactor());
 }
 
-/// \return Whether changes are waited for. A long list fills a small host's
-/// link for half a second at each read; its age then makes every node that
-/// hears from this one ask others, too. Entries that are only kept because of
-/// an outage are in no change that comes, so these are left to whole reads.
+/// \return Whether to watch for changes instead of reading the whole list. A
+/// read of a long list saturates the link of a small host for half a second,
+/// and the age of the list then makes every node that syncs with this one ask
+/// others as well. Entries that are only retained because of an outage appear
+/// in no change, so whole reads go on until they are resolved.
 bool UpstreamFeed::mayFollow() const {
   return Revision != 0 && Readers->reads() &&
          Registry.Entries.size() >= LongList &&
          Timers->now() - WholeAt < WholePeriod &&
-         WholeAt - Registry.BackAt > RestoreDoubt;
+         WholeAt - Registry.OutageEndedAt > RestoreGracePeriod;
 }
 
 void UpstreamFeed::follow() {
@@ -77,21 +81,21 @@
                    return readWhole();
                  if (Found.Status != KvStatus::Ok)
                    return readFailed(Found.Why);
-                 takeEvents(Found.Items, Sent);
+                 applyEvents(Found.Items, Sent);
                  heardNow();
-                 readAfter(FollowPause);
+                 readAfter(FollowDelay);
                });
 }
 
-/// Takes in changes of some entries. What was read before \p Sent is in them.
-void UpstreamFeed::takeEvents(const std::vector<KvItem> &Events,
-                              TimePoint Sent) {
+/// Applies changes of some entries. The list is then up to date as of \p Sent.
+void UpstreamFeed::applyEvents(const std::vector<KvItem> &Events,
+                               TimePoint Sent) {
   std::map<std::string, std::optional<UpstreamEntry>> Last;
-  std::map<std::string, std::string> Bad;
+  std::map<std::string, std::string> Errors;
   for (const KvItem &Item : Events) {
     Revision = std::max(Revision, Item.Revision);
     std::string Instance = Item.Key.substr(Wire.upstreamsPrefix().size());
-    Last[Instance] = Item.Deleted ? std::nullopt : readEntry(Item, Bad);
+    Last[Instance] = Item.Deleted ? std::nullopt : readEntry(Item, Errors);
   }
   std::vector<UpstreamEntry> Listed;
   std::vector<std::string> Gone;
@@ -105,7 +109,7 @@
     changed();
 }
 
-void UpstreamFeed::answered(const KvItems &Found) {
+void UpstreamFeed::onListRead(const KvItems &Found) {
   if (Failures > 0)
     logEvent(LogLevel::Info, "upstream_list_regained",
              {{"failures", Failures}, {"revision", Found.Revision}});
@@ -113,35 +117,36 @@
   Behind = false;
   std::vector<UpstreamEntry> Listed;
   Listed.reserve(Found.Items.size());
-  std::map<std::string, std::string> Bad;
+  std::map<std::string, std::string> Errors;
   for (const KvItem &Item : Found.Items) {
-    if (auto Entry = readEntry(Item, Bad))
+    if (auto Entry = readEntry(Item, Errors))
       Listed.push_back(std::move(*Entry));
   }
-  Unreadable = std::move(Bad);
+  Unreadable = std::move(Errors);
   if (registryRead(Registry, Listed, Timers->now()))
     changed();
 }
 
-/// Reads one entry. Other programs may write below the same prefix: what is not
-/// an upstream's is left out, and the others hold. It is read once a second for
-/// as long as it is there, and logged when it is new.
+/// Parses one entry. Other programs may write below the same prefix, so an
+/// entry that is not an upstream's is skipped and the others are used. It is
+/// read again about once a second while it exists, and logged only when it is
+/// new.
 std::optional<UpstreamEntry>
 UpstreamFeed::readEntry(const KvItem &Item,
-                        std::map<std::string, std::string> &Bad) {
+                        std::map<std::string, std::string> &Errors) {
   std::string Why;
   auto Entry = Wire.readUpstream(Item.Key, Item.Value, Why);
   if (Entry)
     return Entry;
   auto Known = Unreadable.find(Item.Key);
   if ((Known == Unreadable.end() || Known->second != Why) &&
-      Bad.size() < MostLoggedUnreadable)
+      Errors.size() < MaxLoggedUnreadable)
     logEvent(LogLevel::Warning, "upstream_entry_unreadable",
              {{"key", Item.Key},
               {"revision", Item.Revision},
               {"bytes", Item.Value.size()},
               {"why", Why}});
-  Bad[Item.Key] = std::move(Why);
+  Errors[Item.Key] = std::move(Why);
   return std::nullopt;
 }
 
--- a/src/upstream_registry.cpp
+++ b/src/upstream_registry.cpp
@@ -1,4 +1,4 @@
-/// \file upstream_registry.cpp Which upstreams count as listed.
+/// \file upstream_registry.cpp The list of upstreams that a node holds.
 #include "upstream_registry.h"
 
 #include <algorithm>
@@ -8,20 +8,22 @@
 
 namespace fulmar {
 
-/// Changes that are remembered: half a minute of an upstream that comes or goes
-/// every second, which is more than a node that listens is behind. Of many that
-/// come and go in a second, a reader takes in several at once.
-static constexpr std::size_t ChangesKept = 32;
-/// Entries in a change that is remembered at most. After a longer one, lists
-/// are compared by parts.
-static constexpr std::size_t ChangedKept = 2000;
-/// Entries that are given at once; 100 bytes each. Who has no list and would
-/// need more gets it in parts; who has another one gets the rest with the next
-/// answers.
-static constexpr std::size_t LargestWhole = 500;
+/// Number of recent changes that are kept. With one upstream that is listed or
+/// unlisted per second this covers half a minute, which is longer than a
+/// listening node is behind. Of many in a second, a reader applies several as
+/// one change.
+static constexpr std::size_t MaxKeptChanges = 32;
+/// Largest change that is kept, in entries. After a larger one, lists are
+/// compared by buckets.
+static constexpr std::size_t MaxKeptChangeSize = 2000;
+/// Largest number of entries in one response, at 100 bytes each. If a node
+/// without a list needs more, it gets the list by buckets; a node with a
+/// different list gets the rest with the next responses.
+static constexpr std::size_t MaxEntriesPerResponse = 500;
 
-/// \return A number that equal entries share. What is not part of it, as for
-/// how long an upstream is still cold, is news for nobody else.
+/// \return The digest of an entry. Changes of data that it does not cover, such
+/// as the time for which an upstream is still cold, are not sent to other
+/// nodes.
 static std::uint64_t digestOf(const UpstreamEntry &Entry) {
   return hash64(Entry.Instance + '\n' + std::to_string(Entry.BornMs) + '\n' +
                 Entry.Pool + '\n' + Entry.Address + '\n' + Entry.FailureDomain +
@@ -32,30 +34,30 @@
   return hash64(Instance) % RegistryBuckets;
 }
 
-/// \return The digest of a whole list: a sum, so that a change costs as much as
-/// it holds and not as much as the list.
+/// \return The digest of a whole list. It is a sum, so that the cost of an
+/// update depends on the size of the change and not on that of the list.
 static std::uint64_t sumOf(const BucketDigests &Buckets) {
-  std::uint64_t Sum = VacantRegistry;
+  std::uint64_t Sum = EmptyListDigest;
   for (std::uint64_t Bucket : Buckets)
     Sum += Bucket;
   return Sum;
 }
 
-/// \return The parts' digests after \p Change.
+/// \return The bucket digests after \p Change.
 static BucketDigests bucketsAfter(const UpstreamRegistry &Registry,
                                   const RegistryChange &Change) {
   BucketDigests Out = Registry.Buckets;
-  auto TakeOff = [&](const std::string &Instance) {
+  auto Subtract = [&](const std::string &Instance) {
     auto Old = Registry.Entries.find(Instance);
     if (Old != Registry.Entries.end())
       Out[bucketOf(Instance)] -= digestOf(Old->second);
   };
   for (const UpstreamEntry &Entry : Change.Listed) {
-    TakeOff(Entry.Instance);
+    Subtract(Entry.Instance);
     Out[bucketOf(Entry.Instance)] += digestOf(Entry);
   }
   for (const std::string &Instance : Change.Gone)
-    TakeOff(Instance);
+    Subtract(Instance);
   return Out;
 }
 
@@ -63,27 +65,27 @@
   return Change.Listed.size() + Change.Gone.size();
 }
 
-/// Remembers a change for nodes that ask.
-static void remember(UpstreamRegistry &Registry, RegistryChange Change) {
-  if (sizeOf(Change) > ChangedKept)
+/// Keeps a change for nodes that ask for it.
+static void keepChange(UpstreamRegistry &Registry, RegistryChange Change) {
+  if (sizeOf(Change) > MaxKeptChangeSize)
     return Registry.Latest.clear();
   Registry.Latest.push_back(std::move(Change));
-  if (Registry.Latest.size() > ChangesKept)
+  if (Registry.Latest.size() > MaxKeptChanges)
     Registry.Latest.pop_front();
 }
 
-/// Takes a change into the list, and remembers it for others.
-static void takeIn(UpstreamRegistry &Registry, RegistryChange Change,
-                   const BucketDigests &Buckets) {
+/// Applies a change to the list, and keeps it for other nodes.
+static void applyChange(UpstreamRegistry &Registry, RegistryChange Change,
+                        const BucketDigests &Buckets) {
   for (const UpstreamEntry &Entry : Change.Listed) {
     auto [Found, Fresh] = Registry.Entries.try_emplace(Entry.Instance);
-    UpstreamChange Told{std::nullopt, Entry};
+    UpstreamChange Reported{std::nullopt, Entry};
     if (Fresh)
       Registry.Instances[bucketOf(Entry.Instance)].insert(Entry.Instance);
     else
-      Told.Before = std::move(Found->second);
+      Reported.Before = std::move(Found->second);
     Found->second = Entry;
-    Registry.Untold.push_back(std::move(Told));
+    Registry.Untold.push_back(std::move(Reported));
   }
   for (const std::string &Instance : Change.Gone) {
     auto Found = Registry.Entries.find(Instance);
@@ -98,13 +100,13 @@
   Registry.Digest = sumOf(Buckets);
   Change.To = Registry.Digest;
   if (Change.To != Change.From)
-    remember(Registry, std::move(Change));
+    keepChange(Registry, std::move(Change));
 }
 
-/// \return What leads from the present list to \p Next.
+/// \return The change from the current list to \p Next.
 static RegistryChange
-changeTo(const UpstreamRegistry &Registry,
-         const std::map<std::string, UpstreamEntry> &Next) {
+differenceTo(const UpstreamRegistry &Registry,
+             const std::map<std::string, UpstreamEntry> &Next) {
   RegistryChange Change;
   for (const auto &[Instance, Entry] : Next) {
     auto Old = Registry.Entries.find(Instance);
@@ -118,9 +120,9 @@
   return Change;
 }
 
-/// \return \p Entry, or what is known already of a later start of the same
-/// upstream. A write of the earlier start may arrive after it, and would bring
-/// back an address and results that are gone.
+/// \return \p Entry, or the known entry if that is of a later start of the same
+/// upstream. A write of the earlier start may arrive after it, and would
+/// restore an address and results that no longer exist.
 static const UpstreamEntry &latestStart(const UpstreamRegistry &Registry,
                                         const UpstreamEntry &Entry) {
   auto Known = Registry.Entries.find(Entry.Instance);
@@ -129,15 +131,15 @@
   return Known->second;
 }
 
-/// \return Whether \p Entry is of a start that has left: a copy of the list
-/// from before would bring it back.
-static bool leftBefore(const UpstreamRegistry &Registry,
-                       const UpstreamEntry &Entry) {
+/// \return Whether \p Entry is of a start that has left. An older copy of the
+/// list would restore it.
+static bool hasLeft(const UpstreamRegistry &Registry,
+                    const UpstreamEntry &Entry) {
   auto Found = Registry.Gone.find(Entry.Instance);
   return Found != Registry.Gone.end() && Entry.BornMs <= Found->second.BornMs;
 }
 
-/// \return Whether the start that \p Entry is of was known to leave.
+/// \return Whether the start of \p Entry is known as leaving.
 static bool isLeaving(const UpstreamRegistry &Registry,
                       const UpstreamEntry &Entry) {
   auto Known = Registry.Entries.find(Entry.Instance);
@@ -149,7 +151,7 @@
                          const std::vector<std::string> &Instances,
                          TimePoint Now) {
   std::erase_if(Registry.Gone, [Now](const auto &Item) {
-    return Now - Item.second.At > GoneKept;
+    return Now - Item.second.At > GoneRetention;
   });
   for (const std::string &Instance : Instances) {
     auto Left = Registry.Entries.find(Instance);
@@ -159,37 +161,37 @@
 }
 
 void registryRestored(UpstreamRegistry &Registry, TimePoint Now) {
-  Registry.BackAt = Now;
+  Registry.OutageEndedAt = Now;
   Registry.RestoredAt = Now;
 }
 
 bool registryRead(UpstreamRegistry &Registry,
                   const std::vector<UpstreamEntry> &Listed, TimePoint Now) {
-  if (Registry.Known && Now - Registry.ReadAt > ListAway)
-    Registry.BackAt = Now;
-  bool Returning = Registry.Known && Registry.BackAt > TimePoint{} &&
-                   Now - Registry.BackAt < ListReturn;
+  if (Registry.Known && Now - Registry.ReadAt > ListOutageAge)
+    Registry.OutageEndedAt = Now;
+  bool Recovering = Registry.Known && Registry.OutageEndedAt > TimePoint{} &&
+                    Now - Registry.OutageEndedAt < ListRecoveryTime;
   std::map<std::string, UpstreamEntry> Next;
   bool Restoring = Registry.RestoredAt > TimePoint{} &&
-                   Now - Registry.RestoredAt < RestoreDoubt;
+                   Now - Registry.RestoredAt < RestoreGracePeriod;
   for (const UpstreamEntry &Entry : Listed) {
-    if (Restoring && leftBefore(Registry, Entry))
+    if (Restoring && hasLeft(Registry, Entry))
       continue;
     UpstreamEntry &Latest = Next[Entry.Instance];
     Latest = latestStart(Registry, Entry);
     if (Restoring && isLeaving(Registry, Latest))
       Latest.Leaving = true;
   }
-  if (Returning) {
+  if (Recovering) {
     for (const auto &[Instance, Entry] : Registry.Entries)
       Next.try_emplace(Instance, Entry);
   }
-  RegistryChange Change = changeTo(Registry, Next);
+  RegistryChange Change = differenceTo(Registry, Next);
   bool Changed =
       !Registry.Known || !Change.Listed.empty() || !Change.Gone.empty();
   rememberGone(Registry, Change.Gone, Now);
   BucketDigests Buckets = bucketsAfter(Registry, Change);
-  takeIn(Registry, std::move(Change), Buckets);
+  applyChange(Registry, std::move(Change), Buckets);
   Registry.ReadAt = Now;
   Registry.Known = true;
   return Changed;
@@ -214,14 +216,15 @@
     return false;
   rememberGone(Registry, Change.Gone, Now);
   BucketDigests Buckets = bucketsAfter(Registry, Change);
-  takeIn(Registry, std::move(Change), Buckets);
+  applyChange(Registry, std::move(Change), Buckets);
   return true;
 }
 
-/// \return The whole list as a change from nothing.
+/// \return The whole list as a change from a list that was never read; empty if
+/// it is too long.
 static std::optional<RegistryChange>
 wholeRegistry(const UpstreamRegistry &Registry) {
-  if (Registry.Entries.size() > LargestWhole)
+  if (Registry.Entries.size() > MaxEntriesPerResponse)
     return std::nullopt;
   RegistryChange Whole{EmptyRegistry, Registry.Digest, {}, {}, {}};
   for (const auto &[Instance, Entry] : Registry.Entries)
@@ -234,7 +237,7 @@
   if (From == EmptyRegistry)
     return wholeRegistry(Registry);
   auto Begins = [From](const RegistryChange &C) { return C.From == From; };
-  // The latest: a list may have been the same before.
+  // The latest one: the list may have had the same digest before.
   auto First =
       std::find_if(Registry.Latest.rbegin(), Registry.Latest.rend(), Begins);
   if (First == Registry.Latest.rend())
@@ -261,12 +264,13 @@
                                     const BucketDigests &Buckets) {
   RegistryChange Change{From, From, {}, {}, {}};
   if (From == EmptyRegistry)
-    Change.To = VacantRegistry;
+    Change.To = EmptyListDigest;
   for (std::size_t I = 0; I < RegistryBuckets; ++I) {
     if (Buckets[I] == Registry.Buckets[I])
       continue;
     if (!Change.Whole.empty() &&
-        Change.Listed.size() + Registry.Instances[I].size() > LargestWhole)
+        Change.Listed.size() + Registry.Instances[I].size() >
+            MaxEntriesPerResponse)
       break;
     Change.Whole.push_back(static_cast<std::uint32_t>(I));
     for (const std::string &Instance : Registry.Instances[I])
@@ -276,8 +280,9 @@
   return Change;
 }
 
-/// Names what goes with the buckets that \p Change gives whole.
-static void nameGone(const UpstreamRegistry &Registry, RegistryChange &Change) {
+/// Adds the instances that \p Change removes by giving whole buckets to Gone.
+static void addGoneOfWholeBuckets(const UpstreamRegistry &Registry,
+                                  RegistryChange &Change) {
   if (Change.Whole.empty())
     return;
   std::set<std::string_view> Kept;
@@ -299,12 +304,12 @@
   if (Offered.From != Registry.Digest)
     return false;
   RegistryChange Change = Offered;
-  nameGone(Registry, Change);
+  addGoneOfWholeBuckets(Registry, Change);
   BucketDigests Buckets = bucketsAfter(Registry, Change);
   if (sumOf(Buckets) != Offered.To)
     return false;
   rememberGone(Registry, Change.Gone, ReadAt);
-  takeIn(Registry, std::move(Change), Buckets);
+  applyChange(Registry, std::move(Change), Buckets);
   Registry.ReadAt = std::max(Registry.ReadAt, ReadAt);
   Registry.Known = Registry.Known || Complete;
   return true;
--- a/src/upstream_registry.h
+++ b/src/upstream_registry.h
@@ -1,5 +1,5 @@
-/// \file upstream_registry.h Which upstreams count as listed, outages of the
-/// list included.
+/// \file upstream_registry.h The list of upstreams that a node holds, also
+/// during and after outages of the store.
 #ifndef FULMARSTEP_UPSTREAM_REGISTRY_H
 #define FULMARSTEP_UPSTREAM_REGISTRY_H
 
@@ -16,103 +16,107 @@
 
 namespace fulmar {
 
-/// Without a successful read for this long, the list counts as away: more than
-/// two polls were lost.
-inline constexpr Duration ListAway = std::chrono::milliseconds(2500);
-/// After the list was away, entries that lapsed meanwhile are back within this
-/// time if their upstreams live.
-inline constexpr Duration ListReturn = std::chrono::seconds(2);
+/// Without a successful read for this long, the list counts as unavailable:
+/// more than two polls have failed.
+inline constexpr Duration ListOutageAge = std::chrono::milliseconds(2500);
+/// Live upstreams whose entries expired during an outage of the list write them
+/// again within this time after the outage.
+inline constexpr Duration ListRecoveryTime = std::chrono::seconds(2);
 
-/// A list is compared by so many parts, each with a digest of its own.
+/// Number of buckets in which lists are compared, each with its own digest.
 inline constexpr std::size_t RegistryBuckets = 64;
 using BucketDigests = std::array<std::uint64_t, RegistryBuckets>;
 
-/// An entry of a copy outlives an upstream that left since by its lease, which
-/// is shorter than this.
-inline constexpr Duration RestoreDoubt = std::chrono::seconds(5);
+/// After the store is restored from an older copy, the entry of an upstream
+/// that has left since stays until its lease expires, which takes less than
+/// this.
+inline constexpr Duration RestoreGracePeriod = std::chrono::seconds(5);
 
-/// What leads from one list to another.
+/// The difference between two versions of the list.
 struct RegistryChange {
   std::uint64_t From = 0;            ///< Digest of the list before.
   std::uint64_t To = 0;              ///< Digest of the list after.
-  std::vector<UpstreamEntry> Listed; ///< New, or changed.
-  std::vector<std::string> Gone;     ///< Instances that are not listed more.
-  std::vector<std::uint32_t> Whole;  ///< Buckets of which nothing else is left.
+  std::vector<UpstreamEntry> Listed; ///< New or changed entries.
+  std::vector<std::string> Gone;     ///< Instances that were removed.
+  std::vector<std::uint32_t> Whole;  ///< Buckets whose complete content is
+                                     ///< in Listed.
 };
 
 /// Digest of a list that was never read.
 inline constexpr std::uint64_t EmptyRegistry = 0;
-/// Digest of a list that was read and holds nothing.
-inline constexpr std::uint64_t VacantRegistry = 1;
+/// Digest of a list that was read and is empty.
+inline constexpr std::uint64_t EmptyListDigest = 1;
 
-/// An entry of the list that is new, gone or not what it was.
+/// A list entry that was added, removed or changed.
 struct UpstreamChange {
-  std::optional<UpstreamEntry> Before; ///< Nothing: it was not listed.
-  std::optional<UpstreamEntry> After;  ///< Nothing: it is not listed any more.
+  std::optional<UpstreamEntry> Before; ///< Empty: it was not listed.
+  std::optional<UpstreamEntry> After;  ///< Empty: it is no longer listed.
 };
 using UpstreamChanges = std::vector<UpstreamChange>;
 
-/// An upstream that is not listed any more.
+/// An upstream that is no longer listed.
 struct GoneUpstream {
-  std::int64_t BornMs = 0; ///< Its start.
-  TimePoint At{};          ///< When it was missing first.
+  std::int64_t BornMs = 0; ///< Its start time, Unix milliseconds.
+  TimePoint At{};          ///< When it was first missing from the list.
 };
 
-/// Upstreams that left are remembered for this time: longer than a copy that
-/// the list comes back from is old.
-inline constexpr Duration GoneKept = std::chrono::seconds(20);
+/// How long upstreams that left are remembered: longer than the age of a copy
+/// from which the list may be restored.
+inline constexpr Duration GoneRetention = std::chrono::seconds(20);
 
-/// Upstreams as they were last read.
+/// The latest list of upstreams that a node knows.
 struct UpstreamRegistry {
   std::map<std::string, UpstreamEntry> Entries; ///< By instance.
-  std::array<std::set<std::string>, RegistryBuckets> Instances; ///< Of each
-                                                                ///< part.
-  std::uint64_t Digest = EmptyRegistry; ///< Equal lists have equal ones.
-  BucketDigests Buckets{};              ///< The same of each part.
-  std::deque<RegistryChange> Latest;    ///< Changes, the last one last.
-  UpstreamChanges Untold;               ///< Changes that nobody was told of.
-  TimePoint ReadAt{};                   ///< Of the latest read.
-  TimePoint BackAt{};                   ///< End of the latest outage.
-  TimePoint
-      RestoredAt{}; ///< When it came back from an older copy; zero: never.
-  std::map<std::string, GoneUpstream> Gone; ///< Left lately, by instance.
+  /// Instances in each bucket.
+  std::array<std::set<std::string>, RegistryBuckets> Instances;
+  std::uint64_t Digest = EmptyRegistry; ///< The same for equal lists.
+  BucketDigests Buckets{};              ///< Digest of each bucket.
+  std::deque<RegistryChange> Latest;    ///< Recent changes, oldest first.
+  UpstreamChanges Untold;               ///< Changes not yet reported.
+  TimePoint ReadAt{};                   ///< Time of the latest read.
+  TimePoint OutageEndedAt{};            ///< End of the latest outage.
+  /// When the store was restored from an older copy; zero: never.
+  TimePoint RestoredAt{};
+  std::map<std::string, GoneUpstream> Gone; ///< Left recently, by instance.
   bool Known = false;                       ///< It was read at least once.
 };
 
-/// The list comes from an older copy from now on, until upstreams have written
-/// their entries again.
+/// Records that the store was restored from an older copy: until upstreams have
+/// written their entries again, reads may return entries that are out of date.
 void registryRestored(UpstreamRegistry &Registry, TimePoint Now);
 
-/// Takes in a complete list.
+/// Applies a complete list that was read from the store.
 ///
-/// While the store is away, leases of live upstreams may lapse. If their
-/// absence were believed at once, a node would have no upstreams left for a
-/// second or two after each outage, and refuse everything.
+/// While the store is unavailable, leases of live upstreams may expire. If
+/// missing entries were removed at once, a node would have no upstreams for a
+/// second or two after each outage and would refuse all requests.
 /// \return Whether anything changed.
 bool registryRead(UpstreamRegistry &Registry,
                   const std::vector<UpstreamEntry> &Listed, TimePoint Now);
 
-/// Takes in what has changed since the list was read.
+/// Applies changes that the store reported since the list was read.
 /// \return Whether anything changed.
 bool registryEvents(UpstreamRegistry &Registry,
                     const std::vector<UpstreamEntry> &Listed,
                     const std::vector<std::string> &Gone, TimePoint Now);
 
-/// \return What leads from the list with digest \p From to this one; a whole
-/// list for who has none. Nothing when that is too long ago, or too much.
+/// \return The change from the list with digest \p From to this one, or the
+/// whole list if \p From is that of a list that was never read. Empty if the
+/// change is too old or too large.
 std::optional<RegistryChange>
 registryChangesSince(const UpstreamRegistry &Registry, std::uint64_t From);
 
-/// \return What leads from a list with such parts towards this one. It is
-/// bounded: where much differs, it leads a part of the way.
+/// \return The change from a list with these bucket digests to this one. Its
+/// size is bounded: if too much differs, it covers only some of the buckets.
 RegistryChange registryBucketsSince(const UpstreamRegistry &Registry,
                                     std::uint64_t From,
                                     const BucketDigests &Buckets);
 
-/// Takes in what another node's list has besides this one.
+/// Applies a change that another node sent.
 /// \param ReadAt when the other node's list was read.
-/// \param Complete whether nothing is missing after it.
-/// \return Whether it fits: it begins at this list and leads to what it says.
+/// \param Complete whether the list is complete after the change.
+/// \return Whether it was applied: it starts from the digest of this list and
+/// results in the digest that it states.
 bool registryApply(UpstreamRegistry &Registry, const RegistryChange &Change,
                    TimePoint ReadAt, bool Complete = true);
 
--- a/tests/test_cold.cpp
+++ b/tests/test_cold.cpp
@@ -1,4 +1,4 @@
-/// \file test_cold.cpp Upstreams that have just started and bear little.
+/// \file test_cold.cpp Rates sent to upstreams that have just started.
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
 
@@ -13,29 +13,29 @@
 
 namespace {
 
-constexpr double ColdRate = 9; ///< Requests a second that a cold one bears.
+constexpr double ColdRate = 9; ///< Capacity of a cold one, requests/s.
 
-/// One node's view of a pool.
+/// The pool as one node sees it.
 struct View {
   Pool P;
   Random Rng;
-  double Nodes = 1; ///< That it believes there are.
+  double Nodes = 1; ///< Number of nodes that it assumes.
   std::uint64_t Incarnation = 0;
 };
 
-/// A fleet before one pool whose first upstream is cold, in virtual time.
+/// A fleet that serves one pool whose first upstream is cold, in virtual time.
 struct ColdFleet {
   RouterPolicy Policy;
   std::vector<View> Views;
-  std::vector<TimePoint> Sent; ///< To the cold upstream.
+  std::vector<TimePoint> Sent; ///< Times of sends to the cold upstream.
   TimePoint Now{seconds(100)};
-  TimePoint Origin; ///< Of the fleet's time.
+  TimePoint Origin; ///< Local time at which the fleet time was zero.
 
-  /// \param Known part of the nodes that each node knows.
-  /// \param Apart between the incarnations of nodes at most; more than 1 after
-  /// some have started again.
+  /// \param Known the fraction of the nodes that each node knows.
+  /// \param MaxGap the largest difference between successive incarnations; more
+  /// than 1 after nodes have restarted.
   ColdFleet(std::size_t Nodes, double Known, std::uint64_t Seed,
-            std::uint64_t Apart = 1)
+            std::uint64_t MaxGap = 1)
       : Views(Nodes) {
     Policy.Limit = LimitRule::Fixed;
     Random Rng(Seed);
@@ -44,7 +44,7 @@
     for (View &V : Views) {
       V.Rng.seed(Rng());
       V.Nodes = std::max(1.0, static_cast<double>(Nodes) * Known);
-      V.Incarnation = Incarnation += 1 + Rng() % Apart;
+      V.Incarnation = Incarnation += 1 + Rng() % MaxGap;
       V.P.Spec.MaxLimit = V.P.Spec.StartLimit = 100;
       std::uint32_t LastId = 0;
       std::vector<UpstreamSpec> Listed;
@@ -65,7 +65,7 @@
     paceSet(U.Pace, Turns, pacePhase(V.Incarnation, U.Place), Origin);
   }
 
-  /// \return A session whose upstream is the cold one.
+  /// \return The hash of a session whose upstream is the cold one.
   std::uint64_t session() const {
     std::uint64_t Hash = 1;
     Pool P = Views[0].P;
@@ -75,7 +75,8 @@
     return Hash;
   }
 
-  /// Sends one request of a session. \return Where to, or nothing.
+  /// Sends one request of a session.
+  /// \return The index of its upstream, or nothing.
   std::optional<std::size_t> send(View &V, std::uint64_t Session) {
     ChoiceHints Hints;
     Hints.Affinity = Session;
@@ -88,7 +89,7 @@
     return Index;
   }
 
-  /// \return The most that came to the cold upstream within any second.
+  /// \return The most requests to the cold upstream within any second.
   std::size_t mostInASecond() const {
     std::size_t Most = 0;
     for (std::size_t First = 0, Last = 0; Last < Sent.size(); ++Last) {
@@ -102,39 +103,38 @@
 
 } // namespace
 
-SCENARIO("much of the load is one session, and its upstream has just started") {
-  // Symptom: an upstream that comes back falls over again at once.
-  // Sequence: it starts; its session is asked for 60 times a second, at random
-  // nodes.
-  // Cause: nothing bounded what all nodes together send to a cold upstream; a
-  // node alone sends it less than one request a second.
+SCENARIO("most load is for one session whose upstream has just started") {
+  // Guards against an upstream that fails again right after a restart. Random
+  // nodes get 60 requests per second for its session. Each node alone sends it
+  // less than one request per second, but nothing limited the rate of all nodes
+  // together.
   for (std::size_t Nodes : {9, 85, 295, 2000}) {
     ColdFleet Fleet(Nodes, 1, 4711 + Nodes);
     std::uint64_t Session = Fleet.session();
     Random Rng(Nodes);
-    std::set<std::size_t> Others;
+    std::set<std::size_t> OtherUpstreams;
     for (int I = 0; I < 60 * 10; ++I) {
       Fleet.Now += fromMs(1e3 / 60);
       View &V = Fleet.Views[randomIndex(Rng, Nodes)];
       auto Where = Fleet.send(V, Session);
       REQUIRE(Where);
       if (*Where != 0)
-        Others.insert(*Where);
+        OtherUpstreams.insert(*Where);
     }
     INFO(Nodes << " nodes");
     CHECK(static_cast<double>(Fleet.mostInASecond()) <= ColdRate);
-    // The session's part of the prompt is read once elsewhere, not everywhere.
-    CHECK(Others.size() == 1);
-    // Once its upstream is warm, the session comes back.
+    // The session's prompt prefix is processed at one other upstream only.
+    CHECK(OtherUpstreams.size() == 1);
+    // Once its upstream is warm, the session returns to it.
     for (View &V : Fleet.Views)
       Fleet.setCold(V, false);
     CHECK(Fleet.send(Fleet.Views[0], Session) == 0U);
   }
 }
 
-SCENARIO("a session is asked for once its upstream has been cold for long") {
-  // Guards against nodes that save up what they did not send to an upstream,
-  // and all send it at the same moment.
+SCENARIO("requests of a session begin after its upstream was cold for long") {
+  // Guards against nodes that save unused turns and then all send at the same
+  // moment.
   for (std::size_t Nodes : {9, 85, 295}) {
     for (double PerSecond : {60.0, 300.0}) {
       ColdFleet Fleet(Nodes, 1, 99 + Nodes);
@@ -153,7 +153,8 @@
 }
 
 SCENARIO("every upstream of a pool has just started") {
-  // Symptom: a pool that comes back whole serves nothing while it is cold.
+  // Guards against a pool that serves nothing while all of its upstreams are
+  // cold.
   ColdFleet Fleet(9, 1, 5);
   for (View &V : Fleet.Views) {
     for (Upstream &U : V.P.Upstreams)
@@ -166,19 +167,19 @@
     View &V = Fleet.Views[randomIndex(Rng, 9)];
     Served += Fleet.send(V, Rng()).has_value() ? 1 : 0;
   }
-  // They bear 90 requests a second, and 20 are asked.
+  // Capacity is 90 requests per second, and the load is 20.
   CHECK(Served >= 190);
   CHECK(static_cast<double>(Fleet.mostInASecond()) <= ColdRate);
 }
 
-TEST_CASE("cold upstreams get no more than they bear, however few of the nodes "
-          "each node knows (property)") {
+TEST_CASE("cold upstreams get no more than their capacity, however few of the "
+          "nodes each node knows (property)") {
   CHECK(rc::check("cold upstreams", [] {
     auto Nodes = *rc::gen::element<std::size_t>(9, 85, 295);
     double Known = *rc::gen::element(0.5, 0.7, 1.0);
     double PerSecond = *rc::gen::element(5.0, 60.0, 300.0);
-    auto Apart = *rc::gen::element<std::uint64_t>(1, 2, 20);
-    ColdFleet Fleet(Nodes, Known, *rc::gen::arbitrary<std::uint64_t>(), Apart);
+    auto MaxGap = *rc::gen::element<std::uint64_t>(1, 2, 20);
+    ColdFleet Fleet(Nodes, Known, *rc::gen::arbitrary<std::uint64_t>(), MaxGap);
     std::uint64_t Session = Fleet.session();
     Random Rng(*rc::gen::arbitrary<std::uint64_t>());
     TimePoint End = Fleet.Now + seconds(4);
@@ -186,25 +187,25 @@
       Fleet.Now += fromMs(1e3 / PerSecond * 2 * randomUnit(Rng));
       Fleet.send(Fleet.Views[randomIndex(Rng, Nodes)], Session);
     }
-    // The users' bound: half as much again, and a few.
+    // The required bound: 1.5 times the rate plus 5 requests.
     RC_ASSERT(static_cast<double>(Fleet.mostInASecond()) <= ColdRate * 1.5 + 5);
   }));
 }
 
-SCENARIO("nodes agree on the fleet's time") {
+SCENARIO("nodes agree on the fleet time") {
   FleetClock Old{TimePoint(seconds(5)), {}};
   FleetClock Young{TimePoint(seconds(100)), {}};
   TimePoint Now{seconds(101)};
-  WHEN("they hear from each other") {
+  WHEN("they exchange messages") {
     Duration Sent = fleetTime(Old, Now);
     fleetTimeHeard(Old, fleetTime(Young, Now), Now);
     fleetTimeHeard(Young, Sent, Now + milliseconds(2));
-    THEN("the one that started late follows the other") {
+    THEN("the node that started later adopts the time of the other") {
       CHECK(fleetTime(Old, Now) == seconds(96));
       Duration Behind = fleetTime(Old, Now) - fleetTime(Young, Now);
       CHECK(Behind == milliseconds(2));
     }
-    THEN("a message that was held up changes nothing") {
+    THEN("a delayed message changes nothing") {
       Duration Before = fleetTime(Young, Now);
       fleetTimeHeard(Young, Sent - seconds(5), Now);
       CHECK(fleetTime(Young, Now) == Before);
@@ -213,10 +214,9 @@
 }
 
 SCENARIO("nodes tell each other which upstreams are cold") {
-  // Symptom: most nodes of a fleet send to a cold upstream as to any other.
-  // Sequence: one node reads that an upstream has turned cold; the others ask
-  // it what has changed in the list.
-  // Cause: how cold an upstream is was no part of what makes two lists differ.
+  // Guards against nodes that send to a cold upstream as to any other. One node
+  // reads that an upstream has become cold and the others ask it for changes of
+  // the list. The digest of the list did not cover whether an upstream is cold.
   UpstreamEntry Entry{"a", "pool", "10.0.0.1:1", "z1"};
   UpstreamRegistry Reader;
   UpstreamRegistry Listener;
@@ -232,11 +232,11 @@
   REQUIRE(Reader.Digest != Listener.Digest);
   REQUIRE(Tell());
   CHECK(Listener.Entries.at("a").cold());
-  WHEN("it is a little less cold") {
+  WHEN("the time for which it is cold has decreased") {
     std::uint64_t Digest = Reader.Digest;
     Entry.ColdFor = seconds(2);
     registryRead(Reader, {Entry}, Now + seconds(2));
-    THEN("that is no news") { CHECK(Reader.Digest == Digest); }
+    THEN("the list counts as unchanged") { CHECK(Reader.Digest == Digest); }
   }
   WHEN("it is warm") {
     Entry.ColdFor = Duration::zero();
@@ -246,7 +246,7 @@
   }
 }
 
-SCENARIO("an upstream of a node has just started") {
+SCENARIO("a node limits its rate to an upstream that has just started") {
   GatewayWorld W;
   W.ColdPerS = 0.2;
   W.addRunner("plain", {"i-a"});
