--- a/src/attempt_decision.cpp
+++ b/src/attempt_decision.cpp
@@ -1,4 +1,4 @@
-/// \file attempt_decision.cpp Decides what follows one attempt.
+/// \file attempt_decision.cpp Decides what to do after an attempt has ended.
 #include "attempt_decision_func.h"
 
 #include "core/enum_names.h"
@@ -20,8 +20,8 @@
   return nameIn(Names, V);
 }
 
-/// \return Whether the client may be told that nothing has run. One attempt
-/// that may have run is enough to make that a guess.
+/// \return Whether the client may be told that its request has not run: no
+/// attempt, this one or an earlier one, may have run it.
 static bool provablyNotRun(const AttemptFacts &F) {
   return !F.EarlierMayRun && !F.Delivered &&
          (F.Effect == AttemptEffect::NotSent ||
@@ -55,8 +55,9 @@
     return AttemptDecision::BreakOff;
   if (provablyNotRun(F))
     return AttemptDecision::RefuseNotRun;
-  // The upstream's own failure says more than ours could. One that claims not
-  // to have run is not passed on after an attempt that may have.
+  // The upstream's own error answer tells the client more than one of this
+  // node. A "not run" answer is not passed on after an attempt that may have
+  // run.
   if (F.Outcome == AttemptOutcome::Failure && F.Effect == AttemptEffect::Ran)
     return AttemptDecision::PassOn;
   return F.Expired ? AttemptDecision::FailLate : AttemptDecision::FailUnknown;
--- a/src/attempt_decision_func.h
+++ b/src/attempt_decision_func.h
@@ -1,4 +1,5 @@
-/// \file attempt_decision_func.h Decides what follows one attempt.
+/// \file attempt_decision_func.h Decides what to do after an attempt has
+/// ended.
 #ifndef FULMARSTEP_ATTEMPT_DECISION_FUNC_H
 #define FULMARSTEP_ATTEMPT_DECISION_FUNC_H
 
@@ -8,18 +9,18 @@
 
 namespace fulmar {
 
-/// Times that an upstream may say "not run" to one request before the client
-/// is told so: each costs a round trip and a unit of the retry budget, and
+/// "Not run" answers to one request that are retried; after one more the client
+/// is refused. Each costs a round trip and a unit of the retry budget, and
 /// after two the whole pool is most likely full.
 inline constexpr int MaxRefusedSends = 2;
 
-/// Decides what follows an attempt that has ended.
+/// Decides what to do after an attempt that has ended.
 AttemptDecision attemptDecisionAfter(const AttemptFacts &Facts);
 
-/// \return The written name of \p Effect, for logs.
+/// \return The name of \p Effect, for logs.
 std::string_view attemptEffectName(AttemptEffect Effect);
 
-/// \return The written name of \p V, for logs.
+/// \return The name of the decision \p V, for logs.
 std::string_view attemptDecisionName(AttemptDecision V);
 
 } // namespace fulmar
--- a/src/event_stream.cpp
+++ b/src/event_stream.cpp
@@ -1,11 +1,11 @@
-/// \file event_stream.cpp Takes a stream of events apart into whole events.
+/// \file event_stream.cpp Splits a stream of server-sent events.
 #include "event_stream.h"
 
 #include <charconv>
 
 namespace fulmar {
 
-/// Largest event. Those of model engines hold a few tokens; this is far above.
+/// Largest event. Those of model engines hold a few tokens and are far smaller.
 static constexpr std::size_t MaxEventBytes = std::size_t{256} << 10;
 
 /// \return The number in the `id:` line of an event, if there is one.
@@ -30,7 +30,8 @@
   return std::nullopt;
 }
 
-/// \return Where the first event of \p Text ends, or npos.
+/// \return Where the first event of \p Text ends whose end is at \p From or
+/// later, or npos.
 static std::size_t endOfEvent(std::string_view Text, std::size_t From) {
   std::size_t Plain = Text.find("\n\n", From);
   std::size_t Returned = Text.find("\r\n\r\n", From);
@@ -43,12 +44,13 @@
 
 bool EventSplitter::feed(std::string_view Bytes,
                          const std::function<void(const StreamEvent &)> &Fn) {
-  // The end mark may have come in two parts.
+  // The end of an event ("\n\n" or "\r\n\r\n") may be split between two calls.
   constexpr std::size_t MarkSize = 4;
-  std::size_t From = Rest.size() < MarkSize ? 0 : Rest.size() - MarkSize;
-  Rest.append(Bytes);
-  std::string Text = std::move(Rest);
-  Rest.clear();
+  std::size_t From =
+      Buffered.size() < MarkSize ? 0 : Buffered.size() - MarkSize;
+  Buffered.append(Bytes);
+  std::string Text = std::move(Buffered);
+  Buffered.clear();
   std::size_t Begin = 0;
   while (true) {
     std::size_t End = endOfEvent(Text, std::max(From, Begin));
@@ -58,8 +60,8 @@
     Begin = End;
     Fn({Event, readId(Event)});
   }
-  Rest = Text.substr(Begin);
-  return Rest.size() <= MaxEventBytes;
+  Buffered = Text.substr(Begin);
+  return Buffered.size() <= MaxEventBytes;
 }
 
 EventOrder EventCursor::judge(const StreamEvent &Event) const {
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -1,4 +1,4 @@
-/// \file event_stream.h Takes a stream of events apart into whole events.
+/// \file event_stream.h Splits a stream of server-sent events.
 #ifndef FULMARSTEP_EVENT_STREAM_H
 #define FULMARSTEP_EVENT_STREAM_H
 
@@ -11,41 +11,42 @@
 
 namespace fulmar {
 
-/// One event with the lines that belong to it.
+/// One server-sent event with all of its lines.
 struct StreamEvent {
-  std::string_view Bytes;          ///< As it came, its empty line included.
-  std::optional<std::uint64_t> Id; ///< If it has a number.
+  std::string_view Bytes; ///< As received, with the empty line at its end.
+  std::optional<std::uint64_t> Id; ///< Number in its `id:` line, if any.
 };
 
-/// Splits a stream into events. An upstream may stop in the middle of one; only
-/// whole events may reach a client, which could not tell a part from a whole.
+/// Splits a stream into events. An upstream may stop in the middle of an event;
+/// only complete events may reach a client, which could not tell a truncated
+/// event from a complete one.
 struct EventSplitter {
-  std::string Rest; ///< Begin of an event whose end has not come.
+  std::string Buffered; ///< Received part of an incomplete event.
 
-  /// Takes in bytes and calls \p Fn for each whole event.
-  /// \return False when an event grows beyond all bounds.
+  /// Adds received bytes and calls \p Fn for each complete event.
+  /// \return False when the incomplete event is larger than the limit.
   bool feed(std::string_view Bytes,
             const std::function<void(const StreamEvent &)> &Fn);
-  /// \return Whether part of an event is left over.
-  bool partial() const { return !Rest.empty(); }
+  /// \return Whether an incomplete event is buffered.
+  bool partial() const { return !Buffered.empty(); }
 };
 
-/// What an event's number means in the order of a stream.
+/// Where an event stands relative to the events already delivered.
 enum class EventOrder {
-  Next,    ///< It is the one that was expected.
-  Repeat,  ///< The client has it already.
-  Gap,     ///< One before it is missing.
-  Count,   ///< Number of meanings.
-  Invalid, ///< Not a meaning.
+  Next,    ///< The expected event.
+  Repeat,  ///< Already delivered to the client.
+  Gap,     ///< An event before it is missing.
+  Count,   ///< Number of orders.
+  Invalid, ///< Not an order.
 };
 
-/// Keeps a stream's events in order over several upstreams.
+/// Tracks the position in a stream that several upstreams may continue in turn.
 struct EventCursor {
-  std::optional<std::uint64_t> Last; ///< Latest event that the client has.
+  std::optional<std::uint64_t> Last; ///< Latest event that was delivered.
 
-  /// Judges an event. One without a number is taken as the next.
+  /// \return The order of \p Event. An event without a number counts as Next.
   EventOrder judge(const StreamEvent &Event) const;
-  /// The event was passed on.
+  /// Records that \p Event was delivered.
   void take(const StreamEvent &Event) {
     if (Event.Id)
       Last = Event.Id;
--- a/src/forward_type.h
+++ b/src/forward_type.h
@@ -1,4 +1,5 @@
-/// \file forward_type.h Requests that are passed on to upstreams as they are.
+/// \file forward_type.h What is read from and added to requests that are passed
+/// on to upstreams.
 #ifndef FULMARSTEP_FORWARD_TYPE_H
 #define FULMARSTEP_FORWARD_TYPE_H
 
@@ -14,48 +15,49 @@
 /// A part of a prompt that other requests may share.
 struct PromptPart {
   std::string Id; ///< Equal parts have equal ids.
-  int Tokens = 0; ///< Its length.
+  int Tokens = 0; ///< Number of tokens.
 };
 
-/// What a client says of its request, beside what is passed on.
+/// Metadata that a client sends with its request.
 struct ForwardAsk {
-  std::string RequestId;          ///< Of this try; each has its own.
-  std::string Host;               ///< Selects the routes.
-  std::string Key;                ///< Names the organisation; may be empty.
-  std::optional<Duration> Left;   ///< How long the client will wait.
-  int PromptTokens = 0;           ///< For engines.
-  int OutputTokens = 0;           ///< For engines, at most.
-  std::vector<PromptPart> Prompt; ///< Shared parts, in order.
-  std::vector<int> Pieces;        ///< Of each stage.
-  std::string PieceKey;           ///< For stages without inputs.
-  std::optional<std::uint64_t> LastEvent; ///< The client has events up to it.
+  std::string RequestId;        ///< Unique for each try of the client.
+  std::string Host;             ///< Selects the routes.
+  std::string Key;              ///< API key of the organisation; may be empty.
+  std::optional<Duration> Left; ///< Time until the client gives up.
+  int PromptTokens = 0;         ///< Prompt length, for engines.
+  int OutputTokens = 0;         ///< Limit of the output, for engines.
+  std::vector<PromptPart> Prompt;         ///< Parts of the prompt, in order.
+  std::vector<int> Pieces;                ///< Number of pieces of each stage.
+  std::string PieceKey;                   ///< Given to stages without inputs.
+  std::optional<std::uint64_t> LastEvent; ///< Latest event that the client has.
 };
 
-/// What this node adds to a request that it passes on.
+/// Metadata that this node adds to a request that it passes on.
 struct ForwardSend {
-  std::string Instance;            ///< The upstream meant.
-  std::string Organisation;        ///< Whose request; empty: public route.
-  Duration Left{};                 ///< Time that the upstream has.
-  std::optional<int> Priority;     ///< For engines: 0 is first.
-  std::vector<std::string> Inputs; ///< Results of the stages.
-  std::optional<std::uint64_t> LastEvent; ///< Go on after this event.
+  std::string Instance;        ///< Name of the addressed upstream.
+  std::string Organisation;    ///< Owner of the request; empty: public route.
+  Duration Left{};             ///< Time until the client gives up.
+  std::optional<int> Priority; ///< For engines; 0 is the most urgent.
+  std::vector<std::string> Inputs; ///< Handles of the stages' results.
+  std::optional<std::uint64_t>
+      LastEvent; ///< Resume the stream after this event.
 };
 
-/// The load that an upstream reports of itself.
+/// Load that an upstream reports.
 struct UpstreamLoad {
   int Running = 0; ///< Requests in progress.
   int Waiting = 0; ///< Requests queued.
-  int Slots = 0;   ///< Requests at once.
+  int Slots = 0;   ///< Requests that it can run at once.
 };
 
-/// What the head of an upstream's answer says.
+/// Metadata in the head of an upstream's answer.
 struct ForwardReply {
-  bool Signed = false;     ///< It bears the upstream's signature.
-  bool SaidNotRun = false; ///< It says that the request was not run.
-  bool InputsGone = false; ///< It says that a stage's result is missing.
-  bool Elsewhere = false;  ///< Another upstream answers at this address.
-  std::optional<double> RateLimit; ///< Requests a second that the upstream
-                                   ///< takes from all nodes together.
+  bool Signed = false;     ///< It has the upstream's signature.
+  bool SaidNotRun = false; ///< The upstream did not run the request.
+  bool InputsGone = false; ///< A stage's result is missing at its upstream.
+  bool Elsewhere = false;  ///< Sent by another upstream than the addressed one.
+  std::optional<double> RateLimit; ///< Requests per second that the upstream
+                                   ///< accepts from all nodes together.
 };
 
 } // namespace fulmar
--- a/src/retry_func.h
+++ b/src/retry_func.h
@@ -6,22 +6,22 @@
 
 namespace fulmar {
 
-/// Extra attempts that a pipeline has earned.
+/// Token bucket for retries and hedges of a pipeline.
 struct RetryBudget {
-  double Tokens = 3; ///< Attempts; starts with a few for quiet times.
+  double Tokens = 3; ///< Attempts; the initial tokens allow for low traffic.
 };
 
-/// Most attempts that can be saved up, so that a long quiet time does not pay
-/// for a storm.
+/// Capacity of the bucket, so that tokens of a long idle time cannot cause a
+/// retry storm.
 inline constexpr double MaxRetryTokens = 20;
 
-/// Earns a share of one attempt for each fresh one.
+/// Adds \p Ratio tokens; called for each first attempt.
 inline void retryEarn(RetryBudget &Budget, double Ratio) {
   Budget.Tokens = std::min(MaxRetryTokens, Budget.Tokens + Ratio);
 }
 
-/// Spends one attempt.
-/// \return Whether there was one to spend.
+/// Takes the token of one attempt.
+/// \return Whether there was one.
 inline bool retrySpend(RetryBudget &Budget) {
   if (Budget.Tokens < 1)
     return false;
--- a/src/retry_window.h
+++ b/src/retry_window.h
@@ -1,5 +1,5 @@
-/// \file retry_window.h The fleet's bound on repeated sends, kept by each node
-/// on its own.
+/// \file retry_window.h Fleet-wide limit on repeated sends, of which each node
+/// enforces its share.
 #ifndef FULMARSTEP_RETRY_WINDOW_H
 #define FULMARSTEP_RETRY_WINDOW_H
 
@@ -11,36 +11,37 @@
 
 namespace fulmar {
 
-/// What the fleet may repeat for one pool.
+/// Limit on the sends that the fleet may repeat for one pool.
 struct RetryAllowance {
-  double Ratio = 0.2; ///< Repeats for each request.
-  double Extra = 0;   ///< Repeats besides, by the whole fleet.
-  Duration Window = std::chrono::seconds(10); ///< In any span of this length.
+  double Ratio = 0.2; ///< Repeats per request.
+  double Extra = 0;   ///< Further repeats of the whole fleet in a window.
+  Duration Window = std::chrono::seconds(10); ///< Length of the sliding window.
   double Nodes = 1;                           ///< Live nodes that share Extra.
-  double Lot = 0; ///< This node's, from 0 to 1; see retryShare().
+  double Lot = 0; ///< Hash of this node and the pool, from 0 to 1; see
+                  ///< retryShare().
 };
 
-/// Part of the allowance that is used. Nodes count requests and repeats at
-/// slightly different moments than the upstreams that see them, and one of
-/// them may believe that there are fewer nodes than there are.
-inline constexpr double RetryMargin = 0.7;
+/// Fraction of the allowance that nodes use. Nodes count requests and repeats
+/// at slightly different times than the upstreams that receive them, and a
+/// node's member list may hold fewer nodes than the fleet has.
+inline constexpr double RetryUsableFraction = 0.7;
 
-/// \return Repeats besides the ratio that a node may make in a window.
+/// \return Repeats beyond the ratio that a node may make in a window.
 ///
-/// In a large fleet a node's share is less than one repeat. Rounded down, no
-/// node would repeat anything; so as many nodes have a whole one as there are
-/// repeats, and the others ask them for theirs. A node's lot says which they
-/// are, to every node.
+/// In a large fleet a node's share is less than one repeat, and rounded down no
+/// node could repeat anything. So as many nodes get one whole repeat as there
+/// are repeats, and the others ask those nodes for theirs. Every node can tell
+/// which nodes have one by their hashes.
 inline double retryShare(const RetryAllowance &A) {
-  double Share = RetryMargin * A.Extra / (A.Nodes < 1 ? 1 : A.Nodes);
+  double Share = RetryUsableFraction * A.Extra / (A.Nodes < 1 ? 1 : A.Nodes);
   if (Share >= 1)
     return Share;
   return A.Lot < Share ? 1 : 0;
 }
 
-/// \return Whether nodes have shares of less than one repeat.
+/// \return Whether a node's share is less than one repeat.
 inline bool retrySharesSmall(const RetryAllowance &A) {
-  return RetryMargin * A.Extra < A.Nodes;
+  return RetryUsableFraction * A.Extra < A.Nodes;
 }
 
 /// Requests and repeats of one pool in the latest window.
@@ -49,9 +50,9 @@
   std::deque<TimePoint> Repeats;  ///< Sends beyond the first, in order.
 };
 
-/// Forgets what is older than the window.
-inline void retryWindowAge(RetryWindow &W, const RetryAllowance &A,
-                           TimePoint Now) {
+/// Removes sends that are older than the window.
+inline void retryWindowExpire(RetryWindow &W, const RetryAllowance &A,
+                              TimePoint Now) {
   auto Drop = [&](std::deque<TimePoint> &Times) {
     while (!Times.empty() && Times.front() + A.Window <= Now)
       Times.pop_front();
@@ -65,25 +66,26 @@
   W.Requests.push_back(Now);
 }
 
-/// \return Whether one more repeat fits this node's share of the allowance.
+/// \return Whether this node's share of the allowance permits one more repeat.
 inline bool retryWindowAllows(RetryWindow &W, const RetryAllowance &A,
                               TimePoint Now) {
-  retryWindowAge(W, A, Now);
-  double Most = RetryMargin * A.Ratio * static_cast<double>(W.Requests.size()) +
-                retryShare(A);
-  return static_cast<double>(W.Repeats.size() + 1) <= Most;
+  retryWindowExpire(W, A, Now);
+  double Limit =
+      RetryUsableFraction * A.Ratio * static_cast<double>(W.Requests.size()) +
+      retryShare(A);
+  return static_cast<double>(W.Repeats.size() + 1) <= Limit;
 }
 
-/// Asks a node for a repeat that it may make and need not.
+/// Asks a node to cede one of the repeats that it may make.
 struct RetryAsk {
-  std::uint64_t Serial = 0; ///< The asker's name for it.
-  std::string Pool;         ///< Which pool.
+  std::uint64_t Serial = 0; ///< Identifies the request at its sender.
+  std::string Pool;         ///< Pool to repeat a send to.
 };
 
 /// Answers a RetryAsk.
 struct RetryAnswer {
-  std::uint64_t Serial = 0; ///< As in the ask.
-  bool Lent = false;        ///< The asker may make it.
+  std::uint64_t Serial = 0; ///< As in the RetryAsk.
+  bool Lent = false;        ///< The sender of the RetryAsk may repeat.
 };
 
 /// Counts a repeat.
--- a/src/route.cpp
+++ b/src/route.cpp
@@ -1,4 +1,4 @@
-/// \file route.cpp Finding routes, organisations and pools in a table.
+/// \file route.cpp Looks up routes, organisations and pools in a table.
 #include "route_func.h"
 
 #include <algorithm>
--- a/src/route_func.h
+++ b/src/route_func.h
@@ -1,4 +1,4 @@
-/// \file route_func.h Finding routes, organisations and pools in a table.
+/// \file route_func.h Looks up routes, organisations and pools in a table.
 #ifndef FULMARSTEP_ROUTE_FUNC_H
 #define FULMARSTEP_ROUTE_FUNC_H
 
@@ -8,10 +8,11 @@
 
 namespace fulmar {
 
-/// Fills the indexes of \p Table, once its lists are complete.
+/// Builds the indexes of \p Table and marks its final stages, once its lists
+/// are complete.
 void indexRoutes(RouteTable &Table);
 
-/// Finds the route of the longest prefix that begins \p Path.
+/// Finds the route of \p Host whose prefix is the longest match of \p Path.
 /// \return nullptr when there is none.
 const RouteSpec *findRoute(const RouteTable &Table, std::string_view Host,
                            std::string_view Path);
@@ -25,7 +26,7 @@
                                const std::string &Name);
 
 /// Chooses one of a route's pools by weight.
-/// \param Hash spreads requests; the same one gives the same pool.
+/// \param Hash hash of the request; equal hashes give the same pool.
 const std::string &chooseTarget(const RouteSpec &Route, std::uint64_t Hash);
 
 } // namespace fulmar
--- a/src/route_type.h
+++ b/src/route_type.h
@@ -1,5 +1,5 @@
-/// \file route_type.h Routes: which requests go to which pool, and by what
-/// rules.
+/// \file route_type.h Routes, pools and upstreams as the configuration and the
+/// platform's list define them.
 #ifndef FULMARSTEP_ROUTE_TYPE_H
 #define FULMARSTEP_ROUTE_TYPE_H
 
@@ -14,7 +14,7 @@
 
 namespace fulmar {
 
-/// What may be repeated of a route's requests.
+/// Whether a route's requests may be repeated.
 enum class RouteKind {
   Idempotent,    ///< May run more than once.
   NonIdempotent, ///< Runs at most once.
@@ -26,33 +26,35 @@
 /// A pool that takes a share of a route's requests.
 struct RouteTarget {
   std::string Pool;  ///< Name of the pool.
-  double Weight = 1; ///< Share, relative to the others.
+  double Weight = 1; ///< Relative to the route's other targets.
 };
 
-/// Work that must be done before a request can run.
+/// A stage of work that must be done before a request can run.
 struct RouteStage {
-  std::string Pool;       ///< Pool that does it.
-  std::vector<int> After; ///< Stages whose results it needs.
-  double ResultBytes = 0; ///< Size of one result, about.
+  std::string Pool;       ///< Pool that runs the stage.
+  std::vector<int> After; ///< Indexes of the stages whose results it needs.
+  double ResultBytes = 0; ///< Approximate size of one result.
   bool Final = true;      ///< No other stage needs its results.
 };
 
-/// A route.
+/// A route: the requests that it matches and how they are handled.
 struct RouteSpec {
   std::string Name;                          ///< Unique.
-  std::string Host;                          ///< Of the requests.
-  std::string Prefix;                        ///< Of their paths.
-  RouteKind Kind = RouteKind::NonIdempotent; ///< What may be repeated.
-  Duration Timeout{};                        ///< Longest wait; zero: no bound.
-  Duration Target{};                         ///< Time that earns full credit.
-  Duration GapTarget{};                      ///< Longest pause between events.
+  std::string Host;                          ///< Host of its requests.
+  std::string Prefix;                        ///< Prefix of its requests' paths.
+  RouteKind Kind = RouteKind::NonIdempotent; ///< Whether requests may repeat.
+  Duration Timeout{};                        ///< Zero: no limit.
+  Duration Target{};                         ///< Answers within it are on time.
+  Duration GapTarget{};                      ///< Longest gap between events
+                                             ///< that counts as on time.
   int Priority = 5;                          ///< 0 is the most urgent.
-  int Attempts = 1;                          ///< Upstreams that may run it.
-  bool Public = false;                       ///< Needs no key.
-  bool Affinity = false;                     ///< Same session, same upstream.
-  bool Resumable = false;                    ///< A stream may go on elsewhere.
-  std::vector<RouteTarget> Targets;          ///< Pools that run it.
-  std::vector<RouteStage> Stages;            ///< Work to be done before.
+  int Attempts = 1;                 ///< Most upstreams to run a request.
+  bool Public = false;              ///< Needs no API key.
+  bool Affinity = false;            ///< Same session, same upstream.
+  bool Resumable = false;           ///< Another upstream may go on with
+                                    ///< a stream.
+  std::vector<RouteTarget> Targets; ///< Pools that run its requests.
+  std::vector<RouteStage> Stages;   ///< Run before the request.
 
   /// \return Whether its requests may run more than once.
   bool repeatable() const {
@@ -63,86 +65,89 @@
 
 /// A pool whose upstreams work on batches of pieces.
 struct BatchSpec {
-  int Slots = 1;         ///< Calls worked on at once by one upstream.
-  int Waiting = 0;       ///< Calls that may wait at one upstream.
-  int MaxPieces = 1;     ///< Pieces in one call.
-  Duration CallTime{};   ///< Time of a call, its pieces aside.
-  Duration PieceTime{};  ///< Time that each piece adds, about.
+  int Slots = 1;         ///< Calls that one upstream runs at once.
+  int Waiting = 0;       ///< Queue capacity of one upstream, in calls.
+  int MaxPieces = 1;     ///< Most pieces in one call.
+  Duration CallTime{};   ///< Fixed time of a call, without its pieces.
+  Duration PieceTime{};  ///< Approximate time that each piece adds.
   double RoomBytes = 0;  ///< Space for results at one upstream.
-  Duration ResultLife{}; ///< How long a result is kept.
+  Duration ResultLife{}; ///< How long an upstream keeps a result.
 };
 
 /// A pool of model engines.
 struct EngineSpec {
-  int Slots = 64;         ///< Requests run at once by one engine.
-  double CacheTokens = 0; ///< Tokens its memory holds.
+  int Slots = 64;         ///< Requests that one engine runs at once.
+  double CacheTokens = 0; ///< Capacity of an engine's KV cache, tokens.
 };
 
 /// A pool of interchangeable upstreams.
 struct ServiceSpec {
   std::string Name;        ///< Unique.
-  int ConnectionLimit = 0; ///< Of one upstream, from all nodes.
-  double ColdRate = 0; ///< Requests a second that one upstream bears while it
-                       ///< is cold, from all nodes; 0: not limited.
-  std::optional<BatchSpec> Batch;   ///< If it works on batches of pieces.
-  std::optional<EngineSpec> Engine; ///< If it consists of model engines.
+  int ConnectionLimit = 0; ///< Connections of all nodes to one upstream.
+  double ColdRate = 0;     ///< Requests per second of all nodes to one upstream
+                           ///< while it is cold; 0: not limited.
+  std::optional<BatchSpec>
+      Batch; ///< Set for a pool that runs batches of pieces.
+  std::optional<EngineSpec> Engine; ///< Set for a pool of model engines.
 };
 
-/// What clients may send, and how long they may take.
+/// Size limits and timeouts of client connections.
 struct RouteLimits {
-  std::size_t HeadBytes = std::size_t{16} << 10;   ///< Largest head.
-  std::size_t BodyBytes = std::size_t{4} << 20;    ///< Largest body.
-  Duration HeadTimeout = std::chrono::seconds(5);  ///< For the head.
-  Duration IdleTimeout = std::chrono::seconds(30); ///< Of a connection.
+  std::size_t HeadBytes = std::size_t{16} << 10;   ///< Largest request head.
+  std::size_t BodyBytes = std::size_t{4} << 20;    ///< Largest request body.
+  Duration HeadTimeout = std::chrono::seconds(5);  ///< To receive the head.
+  Duration IdleTimeout = std::chrono::seconds(30); ///< Of an idle connection.
 };
 
 /// An organisation and the keys of its clients.
 struct OrganisationKeys {
   std::string Name;              ///< Unique.
-  std::vector<std::string> Keys; ///< That its clients may show.
-  std::optional<int> Priority;   ///< Goes before the route's.
+  std::vector<std::string> Keys; ///< API keys of its clients.
+  std::optional<int> Priority;   ///< Overrides the route's priority.
 };
 
 /// One version of the whole configuration.
 struct RouteTable {
-  std::uint64_t Version = 0;                   ///< Rises with each change.
-  std::vector<RouteSpec> Routes;               ///< All of them.
-  std::vector<ServiceSpec> Services;           ///< All of them.
-  std::vector<OrganisationKeys> Organisations; ///< Empty: no keys needed.
-  RouteLimits Limits;                          ///< For clients.
+  std::uint64_t Version = 0;                   ///< Increases with each change.
+  std::vector<RouteSpec> Routes;               ///< All routes.
+  std::vector<ServiceSpec> Services;           ///< All pools.
+  std::vector<OrganisationKeys> Organisations; ///< Empty: no API keys needed.
+  RouteLimits Limits;                          ///< Of client connections.
 
-  /// Routes of each host, the longest prefix first.
+  /// Indexes into Routes by host, the longest prefix first.
   std::unordered_map<std::string, std::vector<std::size_t>> ByHost;
-  std::unordered_map<std::string, std::size_t> ByKey;     ///< Organisations.
-  std::unordered_map<std::string, std::size_t> ByService; ///< Services.
+  std::unordered_map<std::string, std::size_t>
+      ByKey; ///< Into Organisations, by API key.
+  std::unordered_map<std::string, std::size_t>
+      ByService; ///< Into Services, by name.
 };
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// One start of an upstream. A process may start again under the name that it
-/// had; it then holds and knows nothing of before.
+/// One start of an upstream process. A process may restart under the same name;
+/// it has then lost its state.
 struct Incarnation {
   std::string Instance;    ///< Name of the upstream.
-  std::int64_t BornMs = 0; ///< Unix time of its start, ms; 0: not told.
+  std::int64_t BornMs = 0; ///< Unix time of its start, ms; 0: unknown.
 
   auto operator<=>(const Incarnation &) const = default;
 };
 
 /// An upstream as the platform lists it.
 struct UpstreamEntry {
-  std::string Instance;      ///< Name of the upstream; may outlive a start.
+  std::string Instance;      ///< Name of the upstream; a restart may keep it.
   std::string Pool;          ///< Pool it belongs to.
   std::string Address;       ///< IP:PORT.
-  std::string FailureDomain; ///< Where it runs.
-  int Slots = 1;             ///< Requests at once.
-  bool Leaving = false;      ///< Gets nothing new.
-  Duration ColdFor{};        ///< How much longer it bears little; zero: warm.
-  std::int64_t BornMs = 0;   ///< Unix time of its start, ms; 0: not told.
+  std::string FailureDomain; ///< Failure domain that it runs in.
+  int Slots = 1;             ///< Requests that it can run at once.
+  bool Leaving = false;      ///< Gets no new requests.
+  Duration ColdFor{};        ///< Time until it is warm; zero: it is.
+  std::int64_t BornMs = 0;   ///< Unix time of its start, ms; 0: unknown.
 
   bool operator==(const UpstreamEntry &) const = default;
 
-  /// \return Whether it has just started and bears little.
+  /// \return Whether it has just started and has reduced capacity.
   bool cold() const { return ColdFor > Duration::zero(); }
-  /// \return Which start of which upstream this entry is of.
+  /// \return The start of the upstream that this entry describes.
   Incarnation incarnation() const { return {Instance, BornMs}; }
 };
 
