--- a/src/route_feed.cpp
+++ b/src/route_feed.cpp
@@ -1,4 +1,5 @@
-/// \file route_feed.cpp Keeps what the operator has set.
+/// \file route_feed.cpp Follows the configuration and the drained failure
+/// domains.
 #include "route_feed.h"
 
 #include <algorithm>
@@ -11,51 +12,55 @@
 
 namespace fulmar {
 
-/// One wait for changes. Each answered wait proves that the version was the
-/// newest when the wait began, so a node that loses the service knows its
-/// configuration to be up to twice this older than the loss; the longer it is,
-/// the sooner such a node has to refuse keys.
-static constexpr Duration FollowWait = std::chrono::milliseconds(400);
-/// The same while there is no configuration at all, as when a whole fleet
-/// starts for the first time, and would ask again and again.
-static constexpr Duration FirstWait = std::chrono::milliseconds(1500);
-/// Without word from a reader for this long, a node reads itself: two questions
-/// were lost, or the reader is gone.
-static constexpr Duration SyncPatience = std::chrono::milliseconds(650);
+/// Timeout of one watch call. Each answered call proves that the version was
+/// the newest when the call was sent, so the last confirmation of a node that
+/// loses the key-value service is up to twice this older than the loss; the
+/// longer the timeout, the sooner such a node has to refuse keys.
+static constexpr Duration WatchTimeout = std::chrono::milliseconds(400);
+/// The same while there is no configuration at all, as at the first start of a
+/// whole fleet, where short watch calls would be repeated again and again.
+static constexpr Duration FirstWatchTimeout = std::chrono::milliseconds(1500);
+/// Without a message from a reader for this long, a node reads the service
+/// itself: two requests were lost, or the reader is gone.
+static constexpr Duration SyncTimeout = std::chrono::milliseconds(650);
 /// A reader that has not confirmed its own version for this long has lost the
-/// service; who asks it looks for itself.
-static constexpr Duration MostSyncedAge = std::chrono::milliseconds(1100);
-/// Without a copy of a newer version after this time, a node reads it itself.
-/// Ten kilobytes on a link of 20 Mbit/s take 4 ms, and a reader has up to 75
-/// nodes to serve.
-static constexpr Duration CopyPatience = std::chrono::milliseconds(500);
-/// Longest configuration that nodes of a small fleet give each other. A
-/// reader's 75 copies of it take a second of a link of 20 Mbit/s; longer ones
-/// are read from the service, whose link is faster. In a large fleet all nodes
-/// together would fill that link too, and copies go by way of relays on strong
-/// hosts.
-static constexpr std::size_t LongestCopy = std::size_t{32} << 10;
-/// In a large fleet, nodes that hear nothing go on asking others for this long,
-/// and for as many times the longer as the fleet has nodes.
-static constexpr Duration LargePatience = std::chrono::milliseconds(1500);
-static constexpr Duration PatiencePerNode = std::chrono::milliseconds(5);
-/// Until a node that has no configuration yet looks whether it should read.
-static constexpr Duration FirstPatience = std::chrono::milliseconds(100);
-/// A node whose own calls have failed this often and for this long tells the
-/// others, which choose another reader. A shorter time would have each slow
-/// answer choose another one; in a longer one its whole share of the fleet
-/// reads for itself.
-static constexpr int FailuresToTell = 2;
+/// service; nodes that ask it ignore its answer and read the service
+/// themselves.
+static constexpr Duration MaxSyncedAge = std::chrono::milliseconds(1100);
+/// Without a copy of a newer version after this time, a node reads the version
+/// from the service. Ten kilobytes on a link of 20 Mbit/s take 4 ms, and a
+/// reader has up to 75 nodes to serve.
+static constexpr Duration CopyTimeout = std::chrono::milliseconds(500);
+/// Largest configuration, in bytes, that nodes of a small fleet send each
+/// other. 75 copies of it from one reader occupy a link of 20 Mbit/s for a
+/// second; larger ones are read from the service, whose link is faster. In a
+/// large fleet all nodes together would fill that link too, and copies of any
+/// size go through relays on strong hosts.
+static constexpr std::size_t MaxCopyBytes = std::size_t{32} << 10;
+/// In a large fleet, a node that gets no answer asks other nodes for this long
+/// before it reads the service itself, and for up to the second time per node
+/// of the fleet longer.
+static constexpr Duration LargeFleetReadDelay = std::chrono::milliseconds(1500);
+static constexpr Duration ReadDelayPerNode = std::chrono::milliseconds(5);
+/// Until a starting node without an answer checks whether to read the service.
+static constexpr Duration FirstReadDelay = std::chrono::milliseconds(100);
+/// A node whose own calls have failed this often and for this long reports that
+/// to the others, which then choose another reader. With a shorter time, each
+/// slow answer would make them choose another one; during a longer one, all
+/// nodes that depend on this reader would read the service themselves.
+static constexpr int MinFailuresToReport = 2;
 static constexpr Duration CannotReadAfter = std::chrono::milliseconds(800);
-/// A node that hears enough from others tries the service itself again after
-/// about this time: all it gains is to be a possible reader again.
-static constexpr Duration ProbePause = std::chrono::seconds(3);
-/// Pause before a failed call is repeated, spread over twice as much again: all
-/// nodes fail together when the service does, and must not return together.
-static constexpr Duration RetryPause = std::chrono::milliseconds(60);
+/// After a failed call, a node that gets updates from others tries the service
+/// again after about this time; a successful call only makes it a possible
+/// reader again.
+static constexpr Duration ProbeInterval = std::chrono::seconds(3);
+/// Backoff before a failed call is repeated, with a random addition of up to
+/// twice as much: all nodes fail together when the service does, and must not
+/// retry together.
+static constexpr Duration RetryBackoff = std::chrono::milliseconds(60);
 
-/// After the key-value service has come back from an older copy, those whose
-/// writes it lost have written them again within this time.
+/// After the key-value service was restored from an older copy, the writers
+/// whose writes it lost have repeated them within this time.
 static constexpr Duration RestoreTime = std::chrono::seconds(2);
 
 RouteFeed::RouteFeed(Kernel &K, const WireFormat &W, FreshnessBounds B,
@@ -66,47 +71,49 @@
   Timers = &Services.find<TimerService>(service::Timers);
   Tree = &Services.find<KvTree>(service::Kv);
   Readers = &Services.find<StateSyncService>(service::StateSync);
-  Readers->onSync([this](const StateSync &Heard) { synced(Heard); });
-  Readers->onConfig([this](const ConfigHeard &Heard) { copied(Heard); });
+  Readers->onSync([this](const StateSync &Heard) { handleSync(Heard); });
+  Readers->onConfig([this](const ConfigHeard &Heard) { handleCopy(Heard); });
   Services.find<KvEpochs>(service::Kv).onEpoch([this](std::uint64_t) {
     ConfirmFrom = Timers->now() + RestoreTime;
   });
   Readers->onBegin([this] { begin(); });
 }
 
-/// Reads the configuration for the first time, or asks for it.
+/// Reads the configuration for the first time, or asks other nodes for it.
 void RouteFeed::begin() {
-  if (std::exchange(Begun, true))
+  if (std::exchange(Started, true))
     return;
-  heardNow();
+  resetOwnReadDelay();
   if (Readers->reads() || !Readers->leavesReading())
     return read();
   Readers->ask();
-  readAfter(FirstPatience);
+  scheduleFallback(FirstReadDelay);
 }
 
-/// This node knows what is in force now.
-void RouteFeed::heardNow() {
-  HeardAt = Timers->now();
-  OwnReadAfter = LargePatience + fromMs(toMs(PatiencePerNode) *
-                                        static_cast<double>(Readers->nodes()) *
-                                        randomUnit(Rng));
+/// Restarts the time after which this node reads the service itself.
+void RouteFeed::resetOwnReadDelay() {
+  OwnReadDelayStart = Timers->now();
+  OwnReadDelay =
+      LargeFleetReadDelay +
+      fromMs(toMs(ReadDelayPerNode) * static_cast<double>(Readers->nodes()) *
+             randomUnit(Rng));
 }
 
-/// Nobody has told of the configuration for a while.
-void RouteFeed::due() {
+/// Asks a reader again or reads the service, as no update has come in time.
+void RouteFeed::fallbackDue() {
   bool Own = Readers->reads() || !Readers->leavesReading() ||
-             Timers->now() - HeardAt > OwnReadAfter;
+             Timers->now() - OwnReadDelayStart > OwnReadDelay;
   if (Own)
     return read();
   Fetching = false;
   Readers->ask();
-  readAfter(SyncPatience);
+  scheduleFallback(SyncTimeout);
 }
 
-/// The version in force was the newest when a call was sent at \p Sent, or when
-/// another node was sure of that. A key-value service that has come back from
-/// an older copy has an older version until the operator has written it again.
+/// Records that the version in force was the newest at \p Sent, when a call was
+/// sent or another node confirmed the version. A key-value service that was
+/// restored from an older copy may hold an older version until the operator has
+/// written the newer one again, so nothing is confirmed for RestoreTime.
 void RouteFeed::confirm(Duration Sent) {
   if (Timers->now() >= ConfirmFrom)
     freshnessConfirm(Fresh, Sent);
@@ -121,7 +128,7 @@
 }
 
 bool RouteFeed::canRead() const {
-  return Failures < FailuresToTell ||
+  return Failures < MinFailuresToReport ||
          Timers->now() - FailingSince < CannotReadAfter;
 }
 
@@ -137,50 +144,50 @@
   Tree->range(Wire.operatorPrefix(), [this, Sent](const KvItems &Found) {
     if (Found.Status != KvStatus::Ok)
       return retry(Found.Why);
-    heard();
+    readSucceeded();
     Revision = Found.Revision;
     DrainedDomains Read{{}, Found.Revision};
     for (const KvItem &Item : Found.Items) {
       if (Item.Key == Wire.routesKey())
-        take(Item.Value);
+        applyConfig(Item.Value);
       else if (std::string Domain = Wire.drainedDomain(Item.Key);
                !Domain.empty())
         Read.Names.insert(Domain);
     }
-    takeDrained(Read, "store");
+    applyDrained(Read, "store");
     if (!Table)
       return follow();
     confirm(Sent);
-    next();
+    awaitUpdate();
   });
 }
 
-/// Goes on following, by the service itself or by a node that reads it.
-void RouteFeed::next() {
+/// Waits for the next update, by a watch call to the service or from a reader.
+void RouteFeed::awaitUpdate() {
   Fetching = false;
   if (Readers->reads())
     return follow();
-  heardNow();
+  resetOwnReadDelay();
   if (Failures > 0 && Timers->now() >= ProbeAt)
     return read();
-  readAfter(SyncPatience);
+  scheduleFallback(SyncTimeout);
 }
 
-/// Reads after \p Pause, unless somebody tells enough before.
-void RouteFeed::readAfter(Duration Pause) {
+/// Calls fallbackDue() after \p Pause, unless an update comes before.
+void RouteFeed::scheduleFallback(Duration Pause) {
   Timers->cancel(Fallback);
   Fallback = Timers->after(Pause, [this] {
     Fallback = TimerId{};
-    due();
+    fallbackDue();
   });
 }
 
-/// Takes in what a reader knows. While it tells that nothing has changed, this
-/// node does not ask the service itself.
-void RouteFeed::synced(const StateSync &Heard) {
-  takeDrained(Heard.Answer.Drained, "peer");
-  // A read of our own is under way, or we follow the service ourselves.
-  if (Fallback == TimerId{} || Heard.Answer.ConfigAge > MostSyncedAge)
+/// Handles the state that a reader has sent. While that shows no newer version,
+/// this node does not call the service itself.
+void RouteFeed::handleSync(const StateSync &Heard) {
+  applyDrained(Heard.Answer.Drained, "peer");
+  // Without the timer, this node is reading or watching the service itself.
+  if (Fallback == TimerId{} || Heard.Answer.ConfigAge > MaxSyncedAge)
     return;
   std::uint64_t Mine = Table ? Table->Version : 0;
   if (Heard.Answer.ConfigVersion < Mine || Heard.Answer.ConfigVersion == 0)
@@ -188,35 +195,36 @@
   if (Heard.Answer.ConfigVersion > Mine)
     return fetch();
   confirm(Heard.AskedBoot - Heard.Answer.ConfigAge);
-  next();
+  awaitUpdate();
 }
 
-/// Gets a newer version from the node that told of it. If every node read each
-/// version itself, a fleet would read it as often as it has nodes; and one that
-/// the service turns away would stay at an old version, asking ten times a
-/// second and refusing keys, beside others that have the new one.
+/// Gets a newer version from the node that announced it. If every node read
+/// each version from the service, there would be as many reads as nodes; and a
+/// node that the service rejects would stay at an old version, retrying ten
+/// times a second and refusing keys, although other nodes have the new one.
 void RouteFeed::fetch() {
   if (Fetching)
     return;
   Fetching = true;
   Readers->fetchConfig();
-  readAfter(CopyPatience);
+  scheduleFallback(CopyTimeout);
 }
 
-void RouteFeed::copied(const ConfigHeard &Heard) {
-  if (!Fetching || Heard.Copy.Age > MostSyncedAge)
+void RouteFeed::handleCopy(const ConfigHeard &Heard) {
+  if (!Fetching || Heard.Copy.Age > MaxSyncedAge)
     return;
   Fetching = false;
-  take(Heard.Copy.Text);
+  applyConfig(Heard.Copy.Text);
   if (!Table || Table->Version != Heard.Copy.Version)
     return;
   confirm(Heard.AskedBoot - Heard.Copy.Age);
-  next();
+  awaitUpdate();
 }
 
 void RouteFeed::follow() {
   Duration Sent = EventLoop::bootClock();
-  Tree->follow(Wire.operatorPrefix(), Revision, Table ? FollowWait : FirstWait,
+  Tree->follow(Wire.operatorPrefix(), Revision,
+               Table ? WatchTimeout : FirstWatchTimeout,
                [this, Sent](const KvItems &Found) {
                  if (Found.HistoryLost) {
                    logEvent(LogLevel::Debug, "config_history_lost",
@@ -225,32 +233,33 @@
                  }
                  if (Found.Status != KvStatus::Ok)
                    return retry(Found.Why);
-                 heard();
-                 // An empty answer does not move the revision: a service whose
-                 // watches hear nothing for a while would otherwise have us
-                 // skip what they missed. It says that history is lost instead.
-                 takeEvents(Found.Items);
+                 readSucceeded();
+                 // An empty answer does not advance the revision. Otherwise
+                 // this node would skip the changes that the watches of the
+                 // service have missed; the service reports lost history
+                 // instead.
+                 applyEvents(Found.Items);
                  if (!Table)
                    return follow();
                  confirm(Sent);
-                 next();
+                 awaitUpdate();
                });
 }
 
-/// Takes in changes that a wait has told, in their order.
-void RouteFeed::takeEvents(const std::vector<KvItem> &Events) {
+/// Applies the changes that a watch call has returned, in their order.
+void RouteFeed::applyEvents(const std::vector<KvItem> &Events) {
   DrainedDomains Next = Drained;
   for (const KvItem &Item : Events) {
     Revision = std::max(Revision, Item.Revision);
     if (Item.Key == Wire.routesKey() && !Item.Deleted)
-      take(Item.Value);
+      applyConfig(Item.Value);
     if (std::string Domain = Wire.drainedDomain(Item.Key); !Domain.empty())
       domainDrainChange(Next, Domain, !Item.Deleted, Item.Revision);
   }
-  takeDrained(Next, "store");
+  applyDrained(Next, "store");
 }
 
-void RouteFeed::heard() {
+void RouteFeed::readSucceeded() {
   if (Failures > 0)
     logEvent(LogLevel::Info, "config_source_regained",
              {{"failures", Failures}});
@@ -265,23 +274,24 @@
               {"age_ms", age() ? toMs(*age()) : -1}});
   if (Failures == 1)
     FailingSince = Timers->now();
-  // Other nodes may know more meanwhile.
+  // Other nodes may still get updates.
   if (Readers->leavesReading())
-    heardNow();
-  ProbeAt = Timers->now() + fromMs(toMs(ProbePause) * (0.5 + randomUnit(Rng)));
-  Duration Pause = RetryPause * Readers->retryFactor();
+    resetOwnReadDelay();
+  ProbeAt =
+      Timers->now() + fromMs(toMs(ProbeInterval) * (0.5 + randomUnit(Rng)));
+  Duration Pause = RetryBackoff * Readers->retryFactor();
   Duration Spread = fromMs(toMs(Pause) * 2 * randomUnit(Rng));
-  readAfter(Pause + Spread);
+  scheduleFallback(Pause + Spread);
 }
 
-void RouteFeed::take(const std::string &Value) {
+void RouteFeed::applyConfig(const std::string &Value) {
   std::string Why;
   RouteTablePtr Next = Wire.readRoutes(Value, Why);
   if (!Next) {
     logEvent(LogLevel::Error, "config_unreadable", {{"why", Why}});
     return;
   }
-  // A slow answer may bring an older version than one that is in force.
+  // A slow answer may hold an older version than the one in force.
   if (Table && Next->Version <= Table->Version)
     return;
   logEvent(LogLevel::Info, "config_in_force",
@@ -292,15 +302,14 @@
             {"keys", Next->ByKey.size()},
             {"bytes", Value.size()}});
   Table = std::move(Next);
-  bool Given = Readers->leavesReading() || Value.size() <= LongestCopy;
+  bool Given = Readers->leavesReading() || Value.size() <= MaxCopyBytes;
   Text = Given ? Value : std::string();
-  tell();
+  notifySubscribers();
 }
 
-/// Takes in which failure domains are drained, if that is newer than what is
-/// known.
-void RouteFeed::takeDrained(const DrainedDomains &Heard,
-                            std::string_view Source) {
+/// Applies a set of drained failure domains, if it is newer than the known one.
+void RouteFeed::applyDrained(const DrainedDomains &Heard,
+                             std::string_view Source) {
   std::set<std::string> Before = Drained.Names;
   if (!domainDrainTake(Drained, Heard) || Drained.Names == Before)
     return;
@@ -320,11 +329,11 @@
       Log("domain_taken_back", Domain);
   }
   if (Table)
-    tell();
+    notifySubscribers();
 }
 
-void RouteFeed::tell() const {
-  for (const auto &Fn : Changes)
+void RouteFeed::notifySubscribers() const {
+  for (const auto &Fn : Subscribers)
     Fn();
 }
 
--- a/src/route_feed.h
+++ b/src/route_feed.h
@@ -1,5 +1,5 @@
-/// \file route_feed.h Keeps what the operator has set: the configuration, with
-/// its age, and which failure domains are drained.
+/// \file route_feed.h Follows the configuration, with its age, and the drained
+/// failure domains.
 #ifndef FULMARSTEP_ROUTE_FEED_H
 #define FULMARSTEP_ROUTE_FEED_H
 
@@ -16,11 +16,11 @@
 
 namespace fulmar {
 
-/// Follows what the operator writes to the key-value service.
+/// Follows the operator's keys in the key-value service.
 ///
-/// Which failure domains are drained comes with the configuration, by the same
-/// calls and the same answers of other nodes: so it is in force as soon as a
-/// new configuration would be, on nodes that cannot read the service too.
+/// The drained failure domains come with the configuration, in the same calls
+/// and the same answers of other nodes. So they are in force as soon as a new
+/// configuration would be, also on nodes that cannot read the service.
 class RouteFeed : public Service {
 public:
   RouteFeed(Kernel &K, const WireFormat &W, FreshnessBounds B,
@@ -28,69 +28,74 @@
 
   void start() override;
 
-  /// Calls \p Fn whenever another version comes into force, or a failure domain
-  /// is drained or taken back.
-  void onChange(std::function<void()> Fn) { Changes.push_back(std::move(Fn)); }
+  /// Calls \p Fn whenever a new version comes into force, or a failure domain
+  /// is drained or undrained.
+  void onChange(std::function<void()> Fn) {
+    Subscribers.push_back(std::move(Fn));
+  }
 
   /// \return The version in force; null until there is one.
   const RouteTablePtr &table() const { return Table; }
-  /// \return Its text, to be sent to other nodes; empty when it is too long.
+  /// \return The text of that version, to be sent to other nodes; empty when it
+  /// is too long.
   const std::string &text() const { return Text; }
-  /// \return Which failure domains are drained.
+  /// \return The drained failure domains.
   const DrainedDomains &drained() const { return Drained; }
   /// \return Whether requests with keys may be accepted now.
   bool keysFresh() const;
-  /// \return Whether this node should be given out as an entry.
+  /// \return Whether clients should be given this node's address as an entry.
   bool entryFresh() const;
-  /// \return Whether this node's own calls to the key-value service succeed. It
-  /// may well have the newest configuration while they do not.
+  /// \return Whether this node's own calls to the key-value service succeed.
+  /// The node may have the newest configuration even while they fail.
   bool canRead() const;
-  /// \return How long ago the version in force was sure to be the newest.
+  /// \return Time since the version in force was last confirmed as the newest.
   std::optional<Duration> age() const;
 
 private:
   void read();
   void follow();
-  void next();
+  void awaitUpdate();
   void begin();
-  void due();
-  void heardNow();
-  void readAfter(Duration Pause);
-  void synced(const StateSync &Heard);
+  void fallbackDue();
+  void resetOwnReadDelay();
+  void scheduleFallback(Duration Pause);
+  void handleSync(const StateSync &Heard);
   void fetch();
-  void copied(const ConfigHeard &Heard);
+  void handleCopy(const ConfigHeard &Heard);
   void retry(const std::string &Why);
-  void heard();
-  void take(const std::string &Value);
-  void takeDrained(const DrainedDomains &Heard, std::string_view Source);
-  void takeEvents(const std::vector<KvItem> &Events);
-  void tell() const;
+  void readSucceeded();
+  void applyConfig(const std::string &Value);
+  void applyDrained(const DrainedDomains &Heard, std::string_view Source);
+  void applyEvents(const std::vector<KvItem> &Events);
+  void notifySubscribers() const;
   void confirm(Duration Sent);
 
-  Kernel &Services;                           ///< Finds the others.
-  const WireFormat &Wire;                     ///< Reads the configuration.
-  FreshnessBounds Bounds;                     ///< How old it may be.
-  Random Rng;                                 ///< Spreads repeated calls.
-  TimerService *Timers = nullptr;             ///< Time.
-  KvTree *Tree = nullptr;                     ///< The key-value service.
-  RouteTablePtr Table;                        ///< In force.
-  std::string Text;                           ///< Of it, if it is given to
-                                              ///< other nodes.
-  Freshness Fresh;                            ///< Its age.
-  TimePoint ConfirmFrom{};                    ///< Not sure of it before then.
-  DrainedDomains Drained;                     ///< Failure domains.
-  std::uint64_t Revision = 0;                 ///< Changes up to it are known.
-  StateSyncService *Readers = nullptr;        ///< Tells what others read.
-  TimerId Fallback;                           ///< When nobody tells.
-  TimePoint HeardAt{};                        ///< When somebody did.
-  Duration OwnReadAfter{};                    ///< Without word, this node reads
-                                              ///< itself then.
-  bool Begun = false;                         ///< begin() has run.
-  bool Fetching = false;                      ///< A copy was asked for.
-  int Failures = 0;                           ///< Calls in a row that failed.
-  TimePoint FailingSince{};                   ///< When the first of them did.
-  TimePoint ProbeAt{};                        ///< When to try again, at last.
-  std::vector<std::function<void()>> Changes; ///< Subscribers.
+  Kernel &Services;                    ///< Finds other services.
+  const WireFormat &Wire;              ///< Parses the configuration.
+  FreshnessBounds Bounds;              ///< Limits of the age.
+  Random Rng;                          ///< Jitter of repeated calls.
+  TimerService *Timers = nullptr;      ///< Clock and timers.
+  KvTree *Tree = nullptr;              ///< The key-value service.
+  RouteTablePtr Table;                 ///< Version in force.
+  std::string Text;                    ///< Its text, if that is sent
+                                       ///< to other nodes.
+  Freshness Fresh;                     ///< Age of the version.
+  TimePoint ConfirmFrom{};             ///< No confirmation before.
+  DrainedDomains Drained;              ///< Drained failure domains.
+  std::uint64_t Revision = 0;          ///< Of the latest known change.
+  StateSyncService *Readers = nullptr; ///< Exchange with other nodes.
+  TimerId Fallback;                    ///< Runs fallbackDue().
+  TimePoint OwnReadDelayStart{};       ///< Start of OwnReadDelay.
+  Duration OwnReadDelay{};             ///< Without an update for this
+                                       ///< long, this node reads the
+                                       ///< service.
+  bool Started = false;                ///< begin() has run.
+  bool Fetching = false;               ///< A copy was requested.
+  int Failures = 0;                    ///< Consecutive failed calls.
+  TimePoint FailingSince{};            ///< Time of the first of them.
+  TimePoint ProbeAt{};                 ///< Next try despite updates
+                                       ///< from other nodes.
+  std::vector<std::function<void()>> Subscribers; ///< Called on changes.
 };
 
 } // namespace fulmar
