--- a/src/gateway_admission.cpp
+++ b/src/gateway_admission.cpp
@@ -1,4 +1,4 @@
-/// \file gateway_admission.cpp Taking clients' requests in, or refusing them.
+/// \file gateway_admission.cpp Admits or refuses clients' requests.
 #include <algorithm>
 
 #include "core/hash.h"
@@ -13,42 +13,43 @@
 
 namespace fulmar {
 
-/// Requests in progress at once. Each holds its body, a few KB; a node of the
-/// smallest size in use (160 MB) holds this many with room to spare.
+/// Limit of the requests in progress. Each holds its body, a few KB; a node of
+/// the smallest size in use (160 MB) has ample memory for this many.
 static constexpr std::size_t MaxRequests = 4000;
-/// A client gives up at its time exactly; the final answer leaves this much
-/// earlier, so that it can still be read.
+/// A client gives up exactly at its deadline; the final answer is sent this
+/// much earlier, so that the client can still read it.
 static constexpr Duration AnswerMargin = std::chrono::milliseconds(10);
-/// Taken for a client that does not say how long it waits.
-static constexpr Duration DefaultLeft = std::chrono::seconds(30);
-/// A client leaves a stream without its first event after the longest of these:
-/// a time, a multiple of the route's target, and one of its longest pause.
-static constexpr Duration LeastFirstWait = std::chrono::seconds(2);
-static constexpr int FirstWaitTargets = 4;
-static constexpr int FirstWaitGaps = 8;
-/// While draining, a request counts as taking this many times its usual time.
-static constexpr int DrainCaution = 2;
-/// A request is only taken in while draining if it should end this much before
-/// the process is ended.
+/// Timeout of a client that does not send one.
+static constexpr Duration DefaultClientTimeout = std::chrono::seconds(30);
+/// A client gives up a stream without a first event after the longest of these:
+/// a minimum, a multiple of the route's target, and a multiple of its gap
+/// target.
+static constexpr Duration MinFirstEventWait = std::chrono::seconds(2);
+static constexpr int FirstEventWaitTargets = 4;
+static constexpr int FirstEventWaitGaps = 8;
+/// While draining, a request is expected to take this many times its usual
+/// time.
+static constexpr int DrainTimeFactor = 2;
+/// While draining, a request is admitted only if it should end this much before
+/// the process is killed.
 static constexpr Duration GraceMargin = std::chrono::milliseconds(800);
 
-/// \return How long a client waits for the first event of a stream, and for the
-/// whole answer otherwise. Clients leave a stream that stands still for longer.
-static Duration firstWait(const RouteSpec &Route) {
+/// \return Longest wait for the first event of a stream, after which clients
+/// give up; for other answers, a time longer than any deadline.
+static Duration firstEventWait(const RouteSpec &Route) {
   if (Route.Kind != RouteKind::Streaming)
     return std::chrono::hours(1);
-  return std::max({LeastFirstWait, Route.Target * FirstWaitTargets,
-                   Route.GapTarget * FirstWaitGaps});
+  return std::max({MinFirstEventWait, Route.Target * FirstEventWaitTargets,
+                   Route.GapTarget * FirstEventWaitGaps});
 }
 
-/// Routes of one organisation are this many steps of urgency apart at most;
-/// priorities run from 0 to 9.
+/// Number of route priorities, 0 to 9, within one organisation's priority.
 static constexpr int RoutePriorities = 10;
 
-/// The organisation's priority goes before the route's; between requests of
-/// equal organisations the route's decides. Without the second, and with most
-/// organisations at the same priority, the most urgent kind of request would
-/// share a burst equally with the least urgent one.
+/// The organisation's priority decides first; between equal ones the route's
+/// does. Most organisations have the same priority, so without the route's
+/// priority the most and the least urgent requests would get equal shares
+/// during a burst.
 int urgencyOf(int Organisation, int Route) {
   return Organisation * RoutePriorities +
          std::clamp(Route, 0, RoutePriorities - 1);
@@ -76,15 +77,17 @@
   beginStages(R);
 }
 
-/// \return What \p R has in common with other tries of the same request. An
-/// organisation may have several keys; on a public route a key names nobody.
-static Fingerprint contentOf(const ForwardRequest &R) {
+/// \return Fingerprint that \p R has in common with other tries of the same
+/// request. It holds the organisation and not the API key: an organisation may
+/// have several keys, and on a public route a key identifies nobody.
+static Fingerprint fingerprintOf(const ForwardRequest &R) {
   return requestFingerprint(R.Organisation, R.Ask.Host, R.Exchange->Target,
                             R.Exchange->Body);
 }
 
-/// Decides whether a request is taken in, and reads what is needed for it.
-/// \return Complete when it is.
+/// Decides whether a request is admitted, and fills in the fields that this
+/// needs.
+/// \return Complete when it is admitted, else the code of the refusal.
 ResultCode GatewayService::admit(ForwardRequest &R) {
   if (R.Exchange->TooLarge)
     return ResultCode::BodyTooLarge;
@@ -95,8 +98,8 @@
     return Routes->keysFresh() ? ResultCode::NoRoute : ResultCode::NotReady;
   R.Priority = R.Route->Priority;
   if (!R.Route->Public && !R.Table->Organisations.empty()) {
-    // An old configuration knows neither which keys were added nor which were
-    // taken away: both answers would be guesses.
+    // A stale configuration lacks newly added keys and still holds revoked
+    // ones, so it can neither accept nor reject a key.
     if (!Routes->keysFresh())
       return ResultCode::KeysNotConfirmed;
     const OrganisationKeys *Owner = findOrganisation(*R.Table, R.Ask.Key);
@@ -105,7 +108,7 @@
     R.Organisation = Owner->Name;
     R.Priority = Owner->Priority.value_or(R.Priority);
   }
-  R.Content = contentOf(R);
+  R.Content = fingerprintOf(R);
   R.Urgency = urgencyOf(R.Priority, R.Route->Priority);
   if (auto Left = quarantineOf(R)) {
     R.RetryIn = *Left;
@@ -113,27 +116,28 @@
   }
   if (Requests.size() > MaxRequests)
     return ResultCode::TooManyRequests;
-  Duration Left = R.Ask.Left.value_or(DefaultLeft);
-  R.ClientEnd = R.Arrived + Left;
-  // The caller counts from its first attempt.
+  Duration Left = R.Ask.Left.value_or(DefaultClientTimeout);
+  R.ClientDeadline = R.Arrived + Left;
+  // The client measures its latency from its first try.
   CallerTime &Callers = timesOf(R).Callers;
   callerTimeLearn(Callers, Left);
   R.UsedBefore = callerTimeUsed(Callers, Left);
   R.OnTimeBy = R.Arrived + R.Route->Target - R.UsedBefore;
-  R.Deadline = R.ClientEnd - AnswerMargin;
+  R.Deadline = R.ClientDeadline - AnswerMargin;
   if (R.Route->Timeout > Duration::zero())
     R.Deadline = std::min(R.Deadline, R.Arrived + R.Route->Timeout);
-  R.FirstBy = std::min(R.Deadline, R.Arrived + firstWait(*R.Route));
+  R.FirstEventDeadline =
+      std::min(R.Deadline, R.Arrived + firstEventWait(*R.Route));
   R.PoolName = chooseTarget(*R.Route, hash64(R.Ask.RequestId));
   R.Cursor.Last = R.Ask.LastEvent;
   if (RefuseAt > TimePoint{} && cannotEndInGrace(R))
     return ResultCode::Draining;
-  // The last stage may be the one that is full: work that its request cannot
-  // use would be taken from others.
+  // Even the last stage may be overloaded. The earlier stages of a request that
+  // cannot complete would take capacity from other requests.
   R.Expected = expectedPath(R);
   if (R.Arrived + R.Expected > R.OnTimeBy)
-    R.Expected = latePath(R);
-  if (R.Arrived + R.Expected > R.FirstBy) {
+    R.Expected = expectedLatePath(R);
+  if (R.Arrived + R.Expected > R.FirstEventDeadline) {
     R.RetryIn = std::max(R.Expected - R.Route->Target, LeastComeBack);
     return ResultCode::StageHopeless;
   }
@@ -148,18 +152,18 @@
   TimePoint Now = Timers->now();
   if (Now < RefuseAt)
     return false;
-  // How long a stream lasts shows at its end only; the longest take several
-  // times the usual. By now callers have had the time to turn elsewhere.
+  // The length of a stream is known only at its end; the longest take several
+  // times the usual time. By now clients have had the time to use other nodes.
   if (R.Route->Kind == RouteKind::Streaming)
     return true;
   auto Found = Times.find(R.Route->Name);
   Duration Usual = Found == Times.end() ? R.Route->Target : Found->second.Whole;
-  return Now + Usual * DrainCaution + GraceMargin > EndsAt;
+  return Now + Usual * DrainTimeFactor + GraceMargin > EndsAt;
 }
 
 void GatewayService::refuseAdmission(const ForwardRequest &R, ResultCode Code) {
   auto Age = Routes->age();
-  Duration RetryIn = comeBackIn(Code, R.RetryIn);
+  Duration RetryIn = retryAfter(Code, R.RetryIn);
   logEvent(LogLevel::Info, "request_refused",
            {{"id", R.Ask.RequestId},
             {"code", resultInfo(Code).Name},
--- a/src/gateway_attempt.cpp
+++ b/src/gateway_attempt.cpp
@@ -1,4 +1,5 @@
-/// \file gateway_attempt.cpp Sends to upstreams, and what comes of them.
+/// \file gateway_attempt.cpp Attempts: sends requests to upstreams and handles
+/// their answers.
 #include <algorithm>
 #include <cassert>
 #include <utility>
@@ -16,33 +17,34 @@
 
 namespace fulmar {
 
-/// A client that is behind by this much stops the reading of its stream; some
-/// hundred events, so that a short stall costs nothing.
+/// With this many bytes unsent to the client, its stream is no longer read from
+/// the upstream. That is some hundred events, so a short stall costs nothing.
 static constexpr std::size_t MaxUnsent = std::size_t{128} << 10;
-/// A stream that may be resumed elsewhere is given up when its first event
-/// takes this many times the target, or longer than this many times what it
-/// usually takes.
-static constexpr double FirstPatienceTargets = 1.5;
-static constexpr double FirstPatienceUsual = 6;
-/// Later events: this many times the longest pause that counts as on time,
-/// and never less than the shortest.
-static constexpr double GapPatience = 2;
-static constexpr Duration LeastGapPatience = std::chrono::milliseconds(1000);
-/// A call that may be repeated is given up after this many targets, while
-/// there is time for another try.
-static constexpr double PlainPatienceTargets = 2;
-/// Another try is only worth it if this much of the target's time is left.
-static constexpr Duration LeastRetryTime = std::chrono::milliseconds(30);
+/// An attempt at a stream that another upstream can resume is given up when its
+/// first event takes longer than this many times the target and this many times
+/// its usual time.
+static constexpr double FirstEventTimeoutTargets = 1.5;
+static constexpr double FirstEventTimeoutUsual = 6;
+/// Timeout of later events: this many times the route's gap target, with a
+/// lower bound.
+static constexpr double GapTimeoutTargets = 2;
+static constexpr Duration MinGapTimeout = std::chrono::milliseconds(1000);
+/// Timeout of an attempt without a stream that may be repeated, in targets of
+/// the route, while there is time for another attempt.
+static constexpr double PlainTimeoutTargets = 2;
+/// Another attempt is made only with at least this much time to the deadline.
+static constexpr Duration MinRetryTime = std::chrono::milliseconds(30);
 
-/// Parts of a prompt, from which on the last one is the request's own: those
-/// before it are what a group of requests and a session share.
-static constexpr std::size_t PartsWithOwn = 3;
+/// In a prompt of at least this many parts, the last part belongs to the
+/// request alone; the parts before it are shared by a group of requests and a
+/// session.
+static constexpr std::size_t MinPartsWithOwn = 3;
 
 std::uint64_t affinityOf(const ForwardRequest &R) {
   const std::vector<PromptPart> &Parts = R.Ask.Prompt;
   if (!R.Route->Affinity || Parts.empty())
     return 0;
-  std::size_t Back = Parts.size() >= PartsWithOwn ? 2 : 1;
+  std::size_t Back = Parts.size() >= MinPartsWithOwn ? 2 : 1;
   return hash64(Parts[Parts.size() - Back].Id);
 }
 
@@ -74,7 +76,7 @@
   ForwardSend Send;
   Send.Instance = U.Start.Instance;
   Send.Organisation = R->Organisation;
-  Send.Left = R->ClientEnd - Now;
+  Send.Left = R->ClientDeadline - Now;
   const ServiceSpec *Service = findService(*R->Table, R->PoolName);
   if (Service && Service->Engine)
     Send.Priority = std::clamp(R->Priority, 0, 9);
@@ -82,13 +84,13 @@
   Send.LastEvent = R->Cursor.Last;
   HttpCall Call = Wire.writeSend(*R->Exchange, Send);
   Call.Address = U.Address;
-  // The request's own timers end it; this one must not come before them.
+  // The request's own timers end the call; its timeout must not fire first.
   Call.Timeout = R->Deadline - Now + std::chrono::seconds(1);
   Call.ConnectTimeout = std::chrono::milliseconds(300);
   if (!R->Route->repeatable())
     Call.Reuse = HttpReuse::Recent;
   ++U.InFlight;
-  // The turn of another node does not use up this one's.
+  // A turn lent by another node does not use one of this node's.
   if (!Lent)
     paceSent(U.Pace, Now);
   RateLimited->sent(U.Start);
@@ -103,7 +105,7 @@
   watchSilence(*R);
 }
 
-/// \return Whether some of a request's results lie where space is scarce.
+/// \return Whether some of a request's results occupy scarce space.
 static bool holdsScarceSpace(const ForwardRequest &R) {
   auto Scarce = [](const StageProgress &Stage) {
     return Stage.SpaceScarce && !Stage.Handles.empty();
@@ -111,10 +113,10 @@
   return std::any_of(R.Stages.begin(), R.Stages.end(), Scarce);
 }
 
-/// Gives the results of the stages back when the upstream has read them, where
-/// their space is scarce. Its first event comes much later, for it reads the
-/// prompt before.
-void GatewayService::planFree(ForwardRequest &R) {
+/// Schedules the release of the stages' results for when the upstream should
+/// have read them, if their space is scarce. The first event comes much later,
+/// as the upstream processes the prompt before it.
+void GatewayService::scheduleInputRelease(ForwardRequest &R) {
   if (!holdsScarceSpace(R))
     return;
   R.ReadTimer = Timers->after(InputsRead.Wait, [this, Serial = R.Serial] {
@@ -138,7 +140,7 @@
 void GatewayService::attemptSent(RequestSerial Serial) {
   ForwardRequest *R = find(Serial);
   R->Attempt->Sent = true;
-  planFree(*R);
+  scheduleInputRelease(*R);
   if (R->Sends++ == 0)
     return;
   ++Metrics.Repeats;
@@ -171,9 +173,9 @@
       return;
     EventOrder Order = R->Cursor.judge(Event);
     if (Order == EventOrder::Next)
-      return passEvent(*R, Event);
-    // An upstream that repeats what the client has goes on from there; one
-    // that leaves something out cannot be used.
+      return forwardEvent(*R, Event);
+    // Events that the client already has are skipped; a stream with a gap
+    // cannot be used.
     A.Damaged = Order == EventOrder::Gap;
   });
   A.Damaged = A.Damaged || !Fits;
@@ -186,8 +188,8 @@
                /*Expired=*/false);
 }
 
-/// Gives the client one whole event.
-void GatewayService::passEvent(ForwardRequest &R, const StreamEvent &Event) {
+/// Passes a complete event on to the client.
+void GatewayService::forwardEvent(ForwardRequest &R, const StreamEvent &Event) {
   ForwardAttempt &A = *R.Attempt;
   TimePoint Now = Timers->now();
   if (!R.HeadSent) {
@@ -219,7 +221,7 @@
   };
 }
 
-/// \return What the whole answer of an attempt is worth.
+/// \return The outcome of an attempt whose call has ended.
 static AttemptOutcome outcomeOf(const ForwardAttempt &A,
                                 const HttpAnswer &Answer,
                                 const ForwardReply &Reply) {
@@ -262,17 +264,18 @@
   if (Reply.InputsGone && R->InputsFreed)
     readWaitLearn(InputsRead, /*Missed=*/1, /*Found=*/0);
   if (Reply.InputsGone && R->StageRounds == 1) {
-    judgeUpstream(*R, AttemptOutcome::Success, Effect);
+    recordOutcome(*R, AttemptOutcome::Success, Effect);
     closeAttempt(*R);
-    // It did nothing wrong, and may hold the session's part of the prompt.
+    // The upstream is not at fault, and may have the session's prompt part
+    // cached.
     R->Tried.pop_back();
     return redoStages(*R);
   }
   afterAttempt(*R, Outcome, Effect, Whole, /*Expired=*/false);
 }
 
-/// Learns from an attempt about its upstream.
-void GatewayService::judgeUpstream(ForwardRequest &R, AttemptOutcome Outcome,
+/// Updates the state of an attempt's upstream with its outcome.
+void GatewayService::recordOutcome(ForwardRequest &R, AttemptOutcome Outcome,
                                    AttemptEffect Effect) {
   if (!R.Attempt)
     return;
@@ -281,9 +284,9 @@
   if (!U)
     return;
   --U->InFlight;
-  Judged.insert(R.PoolName);
-  // An upstream that is full says so; that is no fault. One that answers with
-  // its own error may be ill although its health checks are good.
+  PoolsToSweep.insert(R.PoolName);
+  // A "not run" answer of a full upstream is no failure. An upstream that
+  // answers with an error may be faulty although its health checks pass.
   bool Full = Effect == AttemptEffect::SaidNotRun;
   if (Outcome == AttemptOutcome::Success)
     upstreamSucceeded(*U, Timers->now() - R.Attempt->Started, Duration::zero(),
@@ -300,8 +303,8 @@
   R.Attempt.reset();
 }
 
-/// Gives up the attempt in progress, if there is one, for a reason that says
-/// nothing about its upstream.
+/// Cancels the attempt in progress, if any, without counting a success or a
+/// failure of its upstream.
 void GatewayService::dropAttempt(ForwardRequest &R) {
   if (!R.Attempt)
     return;
@@ -311,7 +314,7 @@
   closeAttempt(R);
 }
 
-bool GatewayService::hasElsewhere(const ForwardRequest &R) const {
+bool GatewayService::hasOtherUpstream(const ForwardRequest &R) const {
   auto Found = Pools.find(R.PoolName);
   if (Found == Pools.end())
     return false;
@@ -341,17 +344,17 @@
   Facts.MaxRuns = R.Route->Attempts;
   Facts.Budget = retryWindowAllows(Retries[R.PoolName], allowance(R.PoolName),
                                    Timers->now());
-  Facts.Elsewhere = R.Attempt && hasElsewhere(R);
-  Facts.TimeLeft = R.Deadline - Timers->now() > LeastRetryTime;
+  Facts.Elsewhere = R.Attempt && hasOtherUpstream(R);
+  Facts.TimeLeft = R.Deadline - Timers->now() > MinRetryTime;
   Facts.Expired = Expired;
   if (askForRetry(R, Facts, Answer))
     return;
-  follow(R, Facts, Answer);
+  applyDecision(R, Facts, Answer);
 }
 
-/// Does what follows an attempt.
-void GatewayService::follow(ForwardRequest &R, const AttemptFacts &Facts,
-                            const HttpAnswer &Answer) {
+/// Decides what to do after an attempt, and does it.
+void GatewayService::applyDecision(ForwardRequest &R, const AttemptFacts &Facts,
+                                   const HttpAnswer &Answer) {
   AttemptDecision Next = attemptDecisionAfter(Facts);
   bool Quiet = Next == AttemptDecision::PassOn &&
                Facts.Outcome == AttemptOutcome::Success;
@@ -372,11 +375,11 @@
   bool Streaming =
       R.Ended ? R.Ended->Streaming : R.Attempt && R.Attempt->Streaming;
   R.Ended.reset();
-  judgeUpstream(R, Facts.Outcome, Facts.Effect);
+  recordOutcome(R, Facts.Outcome, Facts.Effect);
   closeAttempt(R);
   switch (Next) {
   case AttemptDecision::PassOn:
-    return Streaming ? finishStream(R) : finishWith(R, Answer);
+    return Streaming ? finishStream(R) : finishWithAnswer(R, Answer);
   case AttemptDecision::Retry:
     if (!R.Stages.empty() && (R.HeadSent || R.InputsFreed))
       return redoStages(R);
@@ -398,30 +401,32 @@
   }
 }
 
-/// \return How long the present attempt may be silent from now on.
-Duration GatewayService::patience(const ForwardRequest &R) const {
+/// \return Longest time without an event after which the current attempt is
+/// given up.
+Duration GatewayService::silenceTimeout(const ForwardRequest &R) const {
   constexpr Duration Unbounded = std::chrono::hours(1);
   if (!R.Route->repeatable() || R.Runs + 1 >= R.Route->Attempts)
     return Unbounded;
   if (R.Route->Kind != RouteKind::Streaming)
-    return fromMs(toMs(R.Route->Target) * PlainPatienceTargets);
+    return fromMs(toMs(R.Route->Target) * PlainTimeoutTargets);
   if (R.HeadSent)
-    return std::max(LeastGapPatience,
-                    fromMs(toMs(R.Route->GapTarget) * GapPatience));
-  Duration Least = fromMs(toMs(R.Route->Target) * FirstPatienceTargets);
+    return std::max(MinGapTimeout,
+                    fromMs(toMs(R.Route->GapTarget) * GapTimeoutTargets));
+  Duration Least = fromMs(toMs(R.Route->Target) * FirstEventTimeoutTargets);
   auto Found = Times.find(R.Route->Name);
   if (Found == Times.end())
     return Least;
-  return std::max(Least,
-                  fromMs(toMs(Found->second.FirstEvent) * FirstPatienceUsual));
+  return std::max(
+      Least, fromMs(toMs(Found->second.FirstEvent) * FirstEventTimeoutUsual));
 }
 
-/// Gives an attempt up that has been silent for too long, where the request
-/// may go on elsewhere. A host that lost its power closes no connection: one
-/// sees a stream that stands still until its client leaves.
+/// Starts the timer that gives up an attempt without events, if the request can
+/// continue at another upstream. A host that has lost power closes no
+/// connection; without the timer its stream would stall until the client gives
+/// up.
 void GatewayService::watchSilence(ForwardRequest &R) {
   Timers->cancel(R.SilenceTimer);
-  TimePoint Due = R.Attempt->LastEventAt + patience(R);
+  TimePoint Due = R.Attempt->LastEventAt + silenceTimeout(R);
   if (Due >= R.Deadline)
     return;
   R.SilenceTimer =
@@ -429,7 +434,7 @@
         ForwardRequest *Silent = find(Serial);
         if (!Silent || !Silent->Attempt)
           return;
-        TimePoint Over = Silent->Attempt->LastEventAt + patience(*Silent);
+        TimePoint Over = Silent->Attempt->LastEventAt + silenceTimeout(*Silent);
         if (Silent->Attempt->Paused || Timers->now() < Over)
           return watchSilence(*Silent);
         abandonAttempt(*Silent, "silent");
--- a/src/gateway_metrics.cpp
+++ b/src/gateway_metrics.cpp
@@ -1,4 +1,4 @@
-/// \file gateway_metrics.cpp What is counted of requests that are passed on.
+/// \file gateway_metrics.cpp Metrics of requests that are passed on.
 #include "gateway_metrics.h"
 
 #include "metrics_text.h"
@@ -6,8 +6,8 @@
 
 namespace fulmar {
 
-/// Pairs of organisation and route with labels of their own; others are counted
-/// together, or a long configuration could fill the memory.
+/// Pairs of organisation and route with labels of their own. Further ones are
+/// counted together, as a long configuration could exhaust the memory.
 static constexpr std::size_t MaxLabels = 2000;
 
 static RouteMetrics &metricsOf(GatewayMetrics &M,
--- a/src/gateway_node.cpp
+++ b/src/gateway_node.cpp
@@ -1,5 +1,4 @@
-/// \file gateway_node.cpp A whole forwarding node, put together from its
-/// services.
+/// \file gateway_node.cpp A forwarding node and its services.
 #include "gateway_node.h"
 
 #include "batch_relay.h"
@@ -22,15 +21,16 @@
 
 namespace fulmar {
 
-/// Nodes probe each other this often; a small fleet notices a dead node within
-/// a few periods, and clients avoid an address that failed them anyway.
+/// Interval and timeout of the probes between nodes. A small fleet detects a
+/// dead node within a few periods, and clients avoid an address that has
+/// failed.
 static constexpr std::int64_t ProbePeriodMs = 400;
 static constexpr std::int64_t ProbeTimeoutMs = 120;
-/// Between two looks at how far a stop is.
-static constexpr Duration DrainPeriod = std::chrono::milliseconds(20);
-/// Clients may keep an entry answer for this many times the time it names.
-static constexpr int KeptFactor = 3;
-/// The process ends by itself this long before it would be killed.
+/// Interval of the checks whether a stop is complete.
+static constexpr Duration DrainCheckInterval = std::chrono::milliseconds(20);
+/// Clients may cache an entry answer for this many times its TTL.
+static constexpr int CacheFactor = 3;
+/// The process exits by itself this long before it would be killed.
 static constexpr Duration KillMargin = std::chrono::milliseconds(300);
 
 static Settings commonOf(const GatewaySettings &S) {
@@ -43,8 +43,8 @@
 GatewayNode::GatewayNode(EventLoop &L, TimerService &T, GatewaySettings S,
                          const WireFormat &Wire, const StoreFn &MakeStore)
     : Loop(L), Timers(T), Config(std::move(S)), Common(commonOf(Config)) {
-  // The wall clock may step back to an earlier start's time; the other one does
-  // not, but begins anew with the host.
+  // The wall clock may step back to the time of an earlier start. The boot
+  // clock does not, but restarts with the host. So the seed uses both.
   std::uint64_t Seed =
       hash64(Config.NodeId + std::to_string(EventLoop::wallClock()) + "/" +
                  std::to_string(EventLoop::bootClock().count()),
@@ -102,18 +102,20 @@
     return;
   }
   DrainSince = Timers.now();
-  Duration Kept = std::chrono::milliseconds(Config.EntryTtlMs) * KeptFactor;
-  gateway().drain(DrainSince + Kept, DrainSince + fromMs(Config.GraceS * 1e3));
+  Duration CacheTime =
+      std::chrono::milliseconds(Config.EntryTtlMs) * CacheFactor;
+  gateway().drain(DrainSince + CacheTime,
+                  DrainSince + fromMs(Config.GraceS * 1e3));
   Services.find<MemberService>(service::Members).leaving();
   logEvent(LogLevel::Info, "stop_begun", {{"requests", gateway().requests()}});
-  Timers.every(DrainPeriod, [this] { checkDrain(); });
+  Timers.every(DrainCheckInterval, [this] { checkDrain(); });
 }
 
 void GatewayNode::checkDrain() {
   gateway().refuseBeforeEnd();
   DrainView View;
   View.Since = DrainSince;
-  View.EntryTtl = std::chrono::milliseconds(Config.EntryTtlMs) * KeptFactor;
+  View.EntryTtl = std::chrono::milliseconds(Config.EntryTtlMs) * CacheFactor;
   View.Limit = fromMs(Config.GraceS * 1e3) - KillMargin;
   View.Requests = gateway().requests() + gateway().unsentAnswers();
   if (drainPhase(View, Timers.now()) != DrainPhase::Done)
--- a/src/gateway_node.h
+++ b/src/gateway_node.h
@@ -1,5 +1,4 @@
-/// \file gateway_node.h A whole forwarding node, put together from its
-/// services.
+/// \file gateway_node.h A forwarding node and its services.
 #ifndef FULMARSTEP_GATEWAY_NODE_H
 #define FULMARSTEP_GATEWAY_NODE_H
 
@@ -30,24 +29,24 @@
   GatewayNode(const GatewayNode &) = delete;
   GatewayNode &operator=(const GatewayNode &) = delete;
 
-  /// Begins a graceful stop; the loop is stopped at its end.
+  /// Begins a graceful stop, at whose end the event loop is stopped.
   void drain();
   /// Stops all services at once, as when the process is killed.
   void halt() { Services.stop(); }
-  /// \return The part that passes requests on, for tests.
+  /// \return The service that passes requests on, for tests.
   GatewayService &gateway() const;
-  /// \return All of its parts, for tests.
+  /// \return All services, for tests.
   const Kernel &services() const { return Services; }
 
 private:
   void checkDrain();
 
-  EventLoop &Loop;              ///< Where it runs.
-  TimerService &Timers;         ///< Time.
-  const GatewaySettings Config; ///< Kept here; services refer to it.
-  const Settings Common;        ///< What services of both kinds of node want.
-  Kernel Services;              ///< Owns them.
-  TimePoint DrainSince{};       ///< When the stop began; zero: it serves.
+  EventLoop &Loop;              ///< Event loop that it runs on.
+  TimerService &Timers;         ///< Clock and timers.
+  const GatewaySettings Config; ///< Owned here; services refer to it.
+  const Settings Common;        ///< Of services that all kinds of node share.
+  Kernel Services;              ///< Owns all services.
+  TimePoint DrainSince{};       ///< Start of the stop; zero: none.
 };
 
 } // namespace fulmar
--- a/src/gateway_plan.cpp
+++ b/src/gateway_plan.cpp
@@ -1,5 +1,5 @@
-/// \file gateway_plan.cpp What a request's stages should take, when they begin
-/// and where they are best done.
+/// \file gateway_plan.cpp Expected times, begin and placement of a request's
+/// stages.
 #include <algorithm>
 
 #include "gateway_service.h"
@@ -8,56 +8,59 @@
 
 namespace fulmar {
 
-/// What the stages after one, and the run itself, need at the very least,
-/// against what they usually take: hopeless is only what even a quick course
-/// could not save.
-static constexpr double QuickShare = 0.6;
-/// Results of this size, in bytes, are made in the failure domain of the engine
-/// that reads them; smaller ones cost less than the wait for an upstream there.
-static constexpr double LargeResult = 100e3;
-/// A stage that is held back begins this much before it has to, and is not held
-/// back for less than the second.
-static constexpr Duration HoldMargin = std::chrono::milliseconds(120);
-static constexpr Duration HoldLeast = std::chrono::milliseconds(40);
-/// Results are used this much before their time is over; a call that waits at
-/// its upstream for a moment, and the way there.
-static constexpr Duration LifeMargin = std::chrono::milliseconds(300);
-/// Inputs of this size draw the work to where they are. A stage has several of
-/// them, and where it is done costs nothing.
-static constexpr double LargeInput = 20e3;
-
-Duration quickRest(Duration Rest) { return fromMs(toMs(Rest) * QuickShare); }
-
-/// \return How many pieces a request has of a stage.
+/// Least time of the remaining stages and the run, as a fraction of their usual
+/// time. A request is refused as hopeless only if this is too long.
+static constexpr double MinTimeFactor = 0.6;
+/// Results of at least this size, in bytes, are made in the failure domain of
+/// the engine that reads them. The transfer of smaller ones costs less than the
+/// wait for an upstream there.
+static constexpr double LargeResultBytes = 100e3;
+/// A delayed stage begins this much before its latest time, and delays shorter
+/// than the second value are skipped.
+static constexpr Duration StartDelayMargin = std::chrono::milliseconds(120);
+static constexpr Duration MinStartDelay = std::chrono::milliseconds(40);
+/// Results are used this much before they expire, to allow for the network and
+/// for a call that waits at its upstream for a moment.
+static constexpr Duration ResultLifeMargin = std::chrono::milliseconds(300);
+/// A stage is done in the failure domain of its inputs if they have at least
+/// this size, in bytes. A stage has several of them, and placing it there costs
+/// nothing.
+static constexpr double LargeInputBytes = 20e3;
+
+Duration minRemainingTime(Duration Rest) {
+  return fromMs(toMs(Rest) * MinTimeFactor);
+}
+
 int piecesOf(const ForwardRequest &R, std::size_t Index) {
   return Index < R.Ask.Pieces.size() ? R.Ask.Pieces[Index] : 0;
 }
 
-/// \return How long results of a pool are kept.
-Duration GatewayService::resultLife(const ForwardRequest &R,
-                                    const std::string &Pool) const {
+/// \return Time for which results of a pool can be used.
+Duration GatewayService::usableResultLife(const ForwardRequest &R,
+                                          const std::string &Pool) const {
   const ServiceSpec *Service = findService(*R.Table, Pool);
-  if (!Service || !Service->Batch || Service->Batch->ResultLife <= LifeMargin)
+  if (!Service || !Service->Batch ||
+      Service->Batch->ResultLife <= ResultLifeMargin)
     return std::chrono::hours(1);
-  return Service->Batch->ResultLife - LifeMargin;
+  return Service->Batch->ResultLife - ResultLifeMargin;
 }
 
-/// \return Until when a stage's inputs can be read. Work that begins later
-/// finds them gone, and everything before it was for nothing.
-TimePoint GatewayService::inputsLast(const ForwardRequest &R,
-                                     std::size_t Index) const {
+/// \return Time until which a stage's inputs can be read. If the stage begins
+/// later, they are gone and the earlier stages were done in vain.
+TimePoint GatewayService::inputsExpireAt(const ForwardRequest &R,
+                                         std::size_t Index) const {
   TimePoint Last = TimePoint::max();
   for (int Needed : R.Route->Stages[Index].After) {
     auto Input = static_cast<std::size_t>(Needed);
     if (R.Stages[Input].Handles.empty())
       continue;
     Last = std::min(Last, R.Stages[Input].DoneAt +
-                              resultLife(R, R.Route->Stages[Input].Pool));
+                              usableResultLife(R, R.Route->Stages[Input].Pool));
   }
   return Last;
 }
 
-/// \return What a stage should take, its waiting included.
+/// \return Expected time of a stage, with queueing.
 Duration GatewayService::stageTime(const ForwardRequest &R,
                                    std::size_t Index) const {
   const std::string &Pool = R.Route->Stages[Index].Pool;
@@ -69,16 +72,15 @@
   if (Found != Times.end() && Index < Found->second.Stages.size() &&
       Found->second.Stages[Index] > Duration::zero())
     Own = Found->second.Stages[Index];
-  // What the pool says of itself now is newer than what requests took that
-  // have ended.
-  if (auto Said = Batches->forecast(Pool, R.Urgency))
-    Own = std::max(Said->OnTime, quickRest(Own));
+  // The pool's current forecast is newer than the times of ended requests.
+  if (auto Forecast = Batches->forecast(Pool, R.Urgency))
+    Own = std::max(Forecast->OnTime, minRemainingTime(Own));
   return Own;
 }
 
-/// \return What usually follows the stage at \p Index: the longest chain of
-/// stages after it, and the time to the first event.
-Duration GatewayService::restAfter(const ForwardRequest &R,
+/// \return Usual time after the stage at \p Index: of the longest chain of
+/// stages that follow it, and to the first event.
+Duration GatewayService::timeAfter(const ForwardRequest &R,
                                    std::size_t Index) const {
   auto Found = Times.find(R.Route->Name);
   Duration Rest{};
@@ -87,20 +89,20 @@
     if (std::find(After.begin(), After.end(), static_cast<int>(Index)) ==
         After.end())
       continue;
-    Rest = std::max(Rest, stageTime(R, I) + restAfter(R, I));
+    Rest = std::max(Rest, stageTime(R, I) + timeAfter(R, I));
   }
   if (Rest == Duration::zero() && Found != Times.end())
     Rest = Found->second.FirstEvent;
   return Rest;
 }
 
-/// \return Where the results that a stage needs are kept, by most of them.
+/// \return The failure domain that holds most of a stage's large inputs.
 std::string GatewayService::domainOfInputs(const ForwardRequest &R,
                                            std::size_t Index) const {
   std::map<std::string, int> Counts;
   for (int Needed : R.Route->Stages[Index].After) {
     auto Input = static_cast<std::size_t>(Needed);
-    if (R.Route->Stages[Input].ResultBytes < LargeInput)
+    if (R.Route->Stages[Input].ResultBytes < LargeInputBytes)
       continue;
     for (const std::string &Handle : R.Stages[Input].Handles) {
       auto Found = DomainOf.find(Wire.handleAddress(Handle));
@@ -119,23 +121,23 @@
   return Best;
 }
 
-/// \return The failure domain that a stage's pieces are best made in: where
-/// their large result is used, or where their large inputs are.
+/// \return The preferred failure domain of a stage's pieces: where their large
+/// result is used, or where their large inputs are.
 std::string GatewayService::bestDomain(const ForwardRequest &R,
                                        std::size_t Index) {
   const RouteStage &Spec = R.Route->Stages[Index];
   std::uint64_t Affinity = affinityOf(R);
-  if (!Spec.Final || Spec.ResultBytes < LargeResult || Affinity == 0)
+  if (!Spec.Final || Spec.ResultBytes < LargeResultBytes || Affinity == 0)
     return domainOfInputs(R, Index);
   const Upstream *Consumer =
       affineUpstream(Pools[R.PoolName], Policy, Affinity, Timers->now());
   return Consumer ? Consumer->FailureDomain : std::string();
 }
 
-/// \return The longest time that the chain of stages from \p Index on should
-/// still take, the run itself aside.
-Duration GatewayService::chainLeft(const ForwardRequest &R,
-                                   std::size_t Index) const {
+/// \return Expected remaining time of the longest chain of stages from \p Index
+/// on, without the run.
+Duration GatewayService::chainRemaining(const ForwardRequest &R,
+                                        std::size_t Index) const {
   const StageProgress &Stage = R.Stages[Index];
   if (Stage.State == StageState::Done)
     return Duration::zero();
@@ -147,31 +149,31 @@
     const std::vector<int> &After = R.Route->Stages[I].After;
     if (std::find(After.begin(), After.end(), static_cast<int>(Index)) !=
         After.end())
-      Rest = std::max(Rest, chainLeft(R, I));
+      Rest = std::max(Rest, chainRemaining(R, I));
   }
   return Own + Rest;
 }
 
-/// \return How long a stage can wait without making its request later. A large
-/// result that is made at once lies at its upstream until the longest chain of
-/// the request is done; there is space for a few of them only, and none is left
-/// for requests that would use theirs at once.
-Duration GatewayService::holdBack(const ForwardRequest &R,
-                                  std::size_t Index) const {
+/// \return How long a stage can be delayed without delaying its request. A
+/// large result that is made too early occupies its upstream until the longest
+/// chain of the request is done. There is space for a few of them only, which
+/// requests that would use theirs at once would then lack.
+Duration GatewayService::startDelay(const ForwardRequest &R,
+                                    std::size_t Index) const {
   const RouteStage &Spec = R.Route->Stages[Index];
-  if (!Spec.Final || Spec.ResultBytes < LargeResult)
+  if (!Spec.Final || Spec.ResultBytes < LargeResultBytes)
     return Duration::zero();
   Duration Others{};
   for (std::size_t I = 0; I < R.Stages.size(); ++I) {
     if (I != Index)
-      Others = std::max(Others, chainLeft(R, I));
+      Others = std::max(Others, chainRemaining(R, I));
   }
-  Duration Slack = Others - stageTime(R, Index) - HoldMargin;
-  return Slack > HoldLeast ? Slack : Duration::zero();
+  Duration Slack = Others - stageTime(R, Index) - StartDelayMargin;
+  return Slack > MinStartDelay ? Slack : Duration::zero();
 }
 
-/// \return What the longest chain of stages and the run itself should take, as
-/// things stand.
+/// \return Expected time of the longest chain of stages and the run, at the
+/// current load.
 Duration GatewayService::expectedPath(const ForwardRequest &R) const {
   Duration Path{};
   for (std::size_t I = 0; I < R.Route->Stages.size(); ++I) {
@@ -181,21 +183,21 @@
     Duration Own = Batches->forecast(Spec.Pool, R.Urgency)
                        .value_or(BatchForecast())
                        .OnTime;
-    Path = std::max(Path, Own + restAfter(R, I));
+    Path = std::max(Path, Own + timeAfter(R, I));
   }
   return Path;
 }
 
-/// \return What a request should take that cannot be on time: in the pool that
-/// is furthest behind, it waits until all that can be on time has passed.
-Duration GatewayService::latePath(const ForwardRequest &R) const {
+/// \return Expected time of a request that cannot be on time: in the pool with
+/// the largest delay, it waits until all requests that can be on time are done.
+Duration GatewayService::expectedLatePath(const ForwardRequest &R) const {
   Duration Behind{};
   for (std::size_t I = 0; I < R.Route->Stages.size(); ++I) {
     if (piecesOf(R, I) == 0)
       continue;
-    auto Said = Batches->forecast(R.Route->Stages[I].Pool, R.Urgency);
-    if (Said)
-      Behind = std::max(Behind, Said->Late - Said->OnTime);
+    auto Forecast = Batches->forecast(R.Route->Stages[I].Pool, R.Urgency);
+    if (Forecast)
+      Behind = std::max(Behind, Forecast->Late - Forecast->OnTime);
   }
   return expectedPath(R) + Behind;
 }
--- a/src/gateway_pools.cpp
+++ b/src/gateway_pools.cpp
@@ -12,25 +12,25 @@
 
 namespace fulmar {
 
-/// Part of an upstream's connections that all nodes together use; it counts
-/// those that are being closed, and other callers may exist.
+/// Fraction of an upstream's connection limit that all nodes together use: the
+/// upstream also counts closing connections, and may have other callers.
 static constexpr double ConnectionShare = 0.8;
-/// Part of the list that changes at once from which on all pools are built
-/// anew.
-static constexpr double RebuildShare = 0.5;
+/// If at least this fraction of the list changes at once, all pools are
+/// rebuilt.
+static constexpr double RebuildFraction = 0.5;
 
 static UpstreamSpec specOf(const UpstreamEntry &Entry) {
   return {Entry.Address, Entry.Pool,          Entry.FailureDomain,
           Entry.Leaving, Entry.incarnation(), Entry.cold()};
 }
 
-/// \return Calls of this node that one upstream of a pool may have.
+/// \return This node's share of the connection limit of one upstream of a pool.
 std::int64_t GatewayService::connectionShare(const ServiceSpec &Spec) const {
   double Share = ConnectionShare * Spec.ConnectionLimit / sharingNodes();
   return std::max<std::int64_t>(1, static_cast<std::int64_t>(Share));
 }
 
-/// Brings one pool's upstreams and limits up to date.
+/// Updates a pool's upstreams and limits.
 void GatewayService::setPool(
     const ServiceSpec &Spec,
     const std::map<std::string, UpstreamEntry> &Entries) {
@@ -45,7 +45,7 @@
       Listed.push_back(specOf(Entry));
   }
   updateUpstreams(P, Listed, Config.FailureDomain, LastUpstream);
-  MostNodes = std::max(MostNodes, sharingNodes());
+  MaxNodesSeen = std::max(MaxNodesSeen, sharingNodes());
   ColdRates[Spec.Name] = Spec.ColdRate;
   for (Upstream &U : P.Upstreams) {
     U.Limit.Max = static_cast<double>(P.Spec.MaxLimit);
@@ -53,13 +53,13 @@
   }
 }
 
-/// Builds all pools from the configuration and the list.
+/// Rebuilds all pools from the configuration and the list of upstreams.
 void GatewayService::rebuildPools() {
   const RouteTablePtr &Table = Routes->table();
   if (!Table || !Upstreams->registry().Known)
     return;
-  // Everybody who chooses an upstream goes by these, so that a drained failure
-  // domain gets no request, repeat, hedge or piece, whoever sends it.
+  // All services choose upstreams from these entries, so a drained failure
+  // domain gets no request, repeat, hedge or piece from any of them.
   const std::map<std::string, UpstreamEntry> &Listed =
       Upstreams->registry().Entries;
   std::map<std::string, UpstreamEntry> Marked;
@@ -78,24 +78,24 @@
   OwnPools->update(*Table, Entries, allowance());
 }
 
-/// \return Whether an entry is still of the same start, in the same pool and at
-/// the same address.
+/// \return Whether an entry still has the same incarnation, pool and address.
 static bool isSame(const UpstreamEntry &Before,
                    const std::optional<UpstreamEntry> &After) {
   return After && Before.incarnation() == After->incarnation() &&
          Before.Pool == After->Pool && Before.Address == After->Address;
 }
 
-/// Takes in what has changed in the list. In a large fleet some upstream comes
-/// or goes all the time, and each would cost every node a look at all others.
+/// Applies changes of the list of upstreams, one entry at a time where
+/// possible. In a large fleet upstreams come and go all the time, and a rebuild
+/// for each would cost every node a pass over all others.
 void GatewayService::upstreamsChanged(const UpstreamChanges &Changes) {
   if (!Routes->table())
     return;
   auto Listed = static_cast<double>(Upstreams->registry().Entries.size());
   if (Pools.empty() ||
-      static_cast<double>(Changes.size()) > RebuildShare * Listed)
+      static_cast<double>(Changes.size()) > RebuildFraction * Listed)
     return rebuildPools();
-  // What goes is taken out first: its address may be another one's by now.
+  // Removals come first, as another upstream may have the address by now.
   for (const UpstreamChange &Change : Changes) {
     if (Change.Before && !isSame(*Change.Before, Change.After))
       unlist(*Change.Before);
@@ -110,7 +110,7 @@
   OwnPools->change(Used);
 }
 
-/// Takes an entry out of the books, as it was.
+/// Removes an upstream; \p Entry is its former entry.
 void GatewayService::unlist(const UpstreamEntry &Entry) {
   DomainOf.erase(Entry.Address);
   auto Found = Pools.find(Entry.Pool);
@@ -118,7 +118,7 @@
     unlistUpstream(Found->second, Entry.incarnation());
 }
 
-/// Takes an entry into the books, as it is.
+/// Adds or updates an upstream.
 void GatewayService::list(const UpstreamEntry &Entry, bool Fresh) {
   DomainOf[Entry.Address] = Entry.FailureDomain;
   auto Found = Pools.find(Entry.Pool);
@@ -130,12 +130,12 @@
   setPace(P, U, ColdRates[Entry.Pool]);
 }
 
-/// Another number of nodes shares what upstreams take.
+/// Recomputes the shares of limits after the number of nodes has changed.
 void GatewayService::shareLimits() {
   const RouteTablePtr &Table = Routes->table();
   if (!Table)
     return;
-  MostNodes = std::max(MostNodes, sharingNodes());
+  MaxNodesSeen = std::max(MaxNodesSeen, sharingNodes());
   for (const ServiceSpec &Spec : Table->Services) {
     auto Found = Pools.find(Spec.Name);
     if (Spec.Batch || Found == Pools.end())
--- a/src/gateway_quarantine.cpp
+++ b/src/gateway_quarantine.cpp
@@ -1,22 +1,23 @@
-/// \file gateway_quarantine.cpp Requests that crash upstreams, as this node
-/// meets them.
+/// \file gateway_quarantine.cpp Reports requests that crash upstreams, and
+/// refuses quarantined ones.
 #include "gateway_service.h"
 #include "quarantine_service.h"
 
 namespace fulmar {
 
-/// Before a request that an upstream has broken off is sent to another one.
-/// Longer than a report takes to the nodes that judge it, and their word back:
-/// without it the last retry goes out just before the request is quarantined.
+/// Pause before a request is retried whose upstream broke the connection. It is
+/// longer than a report takes to the nodes that decide on a quarantine, and
+/// their notice back: without the pause the last retry would be sent just
+/// before the request is quarantined.
 static constexpr Duration CrashRetryPause = std::chrono::milliseconds(20);
 
-/// Tells what an attempt that has ended shows of its request.
+/// Reports whether an ended attempt crashed its upstream or ran well.
 void GatewayService::reportRun(const ForwardRequest &R,
                                const HttpAnswer &Answer, AttemptOutcome Outcome,
                                AttemptEffect Effect) {
   if (httpBrokeOff(Answer))
     return Quarantined->upstreamEnded(R.Attempt->Address, {R.Content});
-  // Its own error is an answer, too: it ran the request and is still there.
+  // An error answer counts, too: the upstream ran the request and is alive.
   if (Outcome == AttemptOutcome::Success || Effect == AttemptEffect::Ran)
     Quarantined->ranWell(R.Content);
 }
@@ -28,8 +29,8 @@
   });
 }
 
-/// \return How long a request is quarantined, for its own run or for a stage
-/// that it needs; nothing if it is not.
+/// \return Remaining quarantine of a request, for its own run or for a stage
+/// that it needs; none if it is not quarantined.
 std::optional<Duration>
 GatewayService::quarantineOf(const ForwardRequest &R) const {
   std::optional<Duration> Longest = Quarantined->left(R.Content);
@@ -43,7 +44,8 @@
   return Longest;
 }
 
-/// \return Whether what is quarantined is the rest of a request's work.
+/// \return Whether the quarantined \p Content is the run of a request or one of
+/// its remaining stages.
 static bool needsQuarantined(const ForwardRequest &R, Fingerprint Content) {
   if (R.Content == Content)
     return true;
@@ -63,8 +65,8 @@
          quarantineOf(R).value_or(Duration::zero()));
 }
 
-/// Ends what is in progress of a request that is quarantined from now on. A run
-/// that gives events already is left alone: it does no harm.
+/// Ends the requests in progress that need \p Content, which is quarantined
+/// from now on. A run that already sends events continues, as it does no harm.
 void GatewayService::endQuarantined(Fingerprint Content) {
   std::vector<RequestSerial> Tries;
   for (const auto &[Serial, R] : Requests) {
--- a/src/gateway_rate_limit.cpp
+++ b/src/gateway_rate_limit.cpp
@@ -1,4 +1,5 @@
-/// \file gateway_rate_limit.cpp Upstreams in need that name a limit.
+/// \file gateway_rate_limit.cpp Sends at the rate limits that upstreams
+/// announce.
 #include <algorithm>
 
 #include "gateway_service.h"
@@ -11,7 +12,7 @@
 
 static constexpr double MsPerSecond = 1e3;
 
-/// Learns from the head of an answer what its upstream says of its limit.
+/// Reports the rate limit in the head of an answer, or that it has none.
 void GatewayService::reportRateLimit(const ForwardRequest &R,
                                      const ForwardReply &Reply) {
   const Upstream *U = upstreamById(Pools[R.PoolName], R.Attempt->Upstream);
@@ -30,8 +31,8 @@
   }
 }
 
-/// \return Requests a second that this node can pass on to a pool; nothing
-/// while some upstream of it names no limit.
+/// \return Requests per second that this node can pass on to a pool; none while
+/// some upstream of the pool has no rate limit.
 std::optional<double> GatewayService::limitedRate(const Pool &P) const {
   RouterPolicy AnyTurn = Policy;
   AnyTurn.KeepPace = false;
@@ -49,9 +50,9 @@
   return PerSecond;
 }
 
-/// Takes a request in where its stages would be done for nothing: more is asked
-/// for than the upstreams at its end take.
-/// \return When it should come back; nothing when it is taken in.
+/// Refuses a request with stages if its pool gets more requests than the rate
+/// limits of its upstreams allow: the stages would be done in vain.
+/// \return Time until it should be retried; none when it is admitted.
 std::optional<Duration> GatewayService::limitedWait(const ForwardRequest &R) {
   auto Found = Pools.find(R.PoolName);
   bool Staged = !R.Route->Stages.empty() && Found != Pools.end();
@@ -67,17 +68,18 @@
                         std::max(Duration::zero(), Spare), Timers->now());
 }
 
-/// \return How often each node may send to an upstream that names a limit.
+/// \return Turns of a node at an upstream with a rate limit.
 PaceTurns GatewayService::limitTurns(const Upstream &U) const {
   auto PerSecond = RateLimited->of(U.Start);
   if (!PerSecond)
     return {};
-  return paceTurns(*PerSecond, MostNodes, RateLimitTurn,
+  return paceTurns(*PerSecond, MaxNodesSeen, RateLimitTurn,
                    NodesAgree ? AgreedShare : PaceShare);
 }
 
-/// \return Where a node's turns at an upstream begin. Where all nodes know the
-/// same ones, their places among them are numbers without gaps.
+/// \return Phase of a node's turns at an upstream. If all nodes have the same
+/// members, a node's place among them is used, as places are numbers without
+/// gaps.
 double GatewayService::turnPhase(const std::string &Node,
                                  std::uint64_t Incarnation,
                                  const Upstream &U) const {
@@ -87,19 +89,19 @@
   return pacePhase(static_cast<std::uint64_t>(Place - Nodes.begin()), U.Place);
 }
 
-/// Sets this node's turns to send to an upstream that takes little.
+/// Sets this node's turns at an upstream that is cold or has a rate limit.
 void GatewayService::setPace(Pool &P, Upstream &U, double ColdRate) {
   if (!U.Cold && !RateLimited->of(U.Start)) {
     U.Pace.Turns = PaceTurns();
     return;
   }
   numberPlaces(P);
-  Paced.insert(P.Spec.Name);
+  PacedPools.insert(P.Spec.Name);
   const MemberInfo &Self = Members->state().Self;
   TimePoint Origin = fleetOrigin(Peers->clock());
   PaceTurns Cold;
   if (U.Cold)
-    Cold = paceTurns(ColdRate, MostNodes, ColdTurn);
+    Cold = paceTurns(ColdRate, MaxNodesSeen, ColdTurn);
   PaceTurns Named = limitTurns(U);
   if (Cold.Interval > Named.Interval)
     return paceSet(U.Pace, Cold, pacePhase(Self.Incarnation, U.Place), Origin);
--- a/src/gateway_reply.cpp
+++ b/src/gateway_reply.cpp
@@ -1,4 +1,4 @@
-/// \file gateway_reply.cpp Answers of this node's own to clients.
+/// \file gateway_reply.cpp Answers to clients with a result code of this node.
 #include "gateway_reply.h"
 
 #include <cstdio>
@@ -8,7 +8,7 @@
 
 namespace fulmar {
 
-/// Writes a time in seconds with ms.
+/// \return \p Time in seconds, with three decimals.
 static std::string secondsText(Duration Time) {
   char Text[32];
   std::snprintf(Text, sizeof(Text), "%.3f", toMs(Time) / 1e3);
--- a/src/gateway_reply.h
+++ b/src/gateway_reply.h
@@ -1,4 +1,4 @@
-/// \file gateway_reply.h Answers of this node's own to clients.
+/// \file gateway_reply.h Answers to clients with a result code of this node.
 #ifndef FULMARSTEP_GATEWAY_REPLY_H
 #define FULMARSTEP_GATEWAY_REPLY_H
 
@@ -7,8 +7,8 @@
 
 namespace fulmar {
 
-/// Answers with a numbered code.
-/// \param RetryIn when the client may come back; zero: as the table says.
+/// Answers with a result code.
+/// \param RetryIn time until the client may retry; zero: the code's default.
 void replyCode(HttpExchange &Exchange, ResultCode Code,
                const std::string &RequestId, Duration RetryIn);
 
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -1,4 +1,4 @@
-/// \file gateway_request.h A request that is being passed on.
+/// \file gateway_request.h State of a request that is being passed on.
 #ifndef FULMARSTEP_GATEWAY_REQUEST_H
 #define FULMARSTEP_GATEWAY_REQUEST_H
 
@@ -17,94 +17,95 @@
 
 namespace fulmar {
 
-/// How far a stage of a request is.
+/// State of a stage of a request.
 enum class StageState {
-  Pending, ///< It waits for the results of others.
-  Running, ///< Its pieces were asked for.
-  Done,    ///< Its results are known, or it has no pieces.
+  Pending, ///< Not begun; it may wait for the results of others.
+  Running, ///< Its pieces were requested.
+  Done,    ///< Ended, or without pieces.
   Count,   ///< Number of states.
   Invalid, ///< Not a state.
 };
 
 /// One stage of a request.
 struct StageProgress {
-  StageState State = StageState::Pending; ///< How far it is.
-  int Pieces = 0;                         ///< How many it has.
-  BatchTicket Ticket;                     ///< While Running.
-  bool InputsRead = false;  ///< It does not need the results of others more.
-  bool SpaceScarce = false; ///< Space for its results is scarce.
-  TimePoint Asked{};        ///< When its pieces were asked for.
-  TimePoint DoneAt{};       ///< When its results came.
-  std::vector<std::string> Handles; ///< Its results, until they are freed.
+  StageState State = StageState::Pending; ///< Progress.
+  int Pieces = 0;                         ///< Number of its pieces.
+  BatchTicket Ticket;                     ///< Set while Running.
+  bool InputsRead = false;          ///< It has read the results of others.
+  bool SpaceScarce = false;         ///< Space for its results is scarce.
+  TimePoint Asked{};                ///< When its pieces were requested.
+  TimePoint DoneAt{};               ///< When its results arrived.
+  std::vector<std::string> Handles; ///< Handles of its results, until freed.
 };
 
 /// One send to an upstream.
 struct ForwardAttempt {
-  HttpCallId Call;         ///< While it runs.
-  UpstreamId Upstream;     ///< To whom.
-  std::string Address;     ///< Of the upstream, for logs.
-  TimePoint Started{};     ///< When it was decided.
-  bool Sent = false;       ///< A byte may have got there.
-  bool Streaming = false;  ///< Its answer is passed on as it comes.
-  bool Damaged = false;    ///< Its events are not in order.
-  bool Paused = false;     ///< Not read, because the client is behind.
-  TimePoint LastEventAt{}; ///< When its latest event came.
-  int Events = 0;          ///< Events taken from it.
-  HttpAnswer Head;         ///< Head of its answer.
-  std::string Body;        ///< Of an answer that is not streamed.
-  EventSplitter Splitter;  ///< Takes the stream apart.
+  HttpCallId Call;         ///< HTTP call.
+  UpstreamId Upstream;     ///< Upstream that it is sent to.
+  std::string Address;     ///< Address of the upstream.
+  TimePoint Started{};     ///< When the call was started.
+  bool Sent = false;       ///< A byte may have reached the upstream.
+  bool Streaming = false;  ///< The answer is passed on as it arrives.
+  bool Damaged = false;    ///< Its events are out of order.
+  bool Paused = false;     ///< Not read, as the client reads too slowly.
+  TimePoint LastEventAt{}; ///< When its latest event arrived.
+  int Events = 0;          ///< Events that were passed on.
+  HttpAnswer Head;         ///< Head of the answer.
+  std::string Body;        ///< Body of an answer that is not streamed.
+  EventSplitter Splitter;  ///< Splits a streamed answer.
 };
 
-/// An attempt that has ended, while it is not decided yet what follows.
+/// An ended attempt whose decision waits for another node's answer.
 struct EndedAttempt {
-  AttemptFacts Facts;     ///< What is known of it.
-  HttpAnswer Answer;      ///< What it came to.
-  bool Streaming = false; ///< Its answer was passed on as it came.
+  AttemptFacts Facts;     ///< Input of the decision.
+  HttpAnswer Answer;      ///< Its answer.
+  bool Streaming = false; ///< The answer was passed on as it arrived.
 };
 
 /// A request in progress.
 struct ForwardRequest {
-  RequestSerial Serial;             ///< Its name on this node.
-  HttpExchangePtr Exchange;         ///< The client.
-  ForwardAsk Ask;                   ///< What the client says.
-  RouteTablePtr Table;              ///< The version it began under.
-  const RouteSpec *Route = nullptr; ///< In that version.
-  std::string Organisation;         ///< Whose request; empty: public route.
-  Fingerprint Content;              ///< The same for each try of a request.
+  RequestSerial Serial;             ///< Identifies it on this node.
+  HttpExchangePtr Exchange;         ///< Exchange with the client.
+  ForwardAsk Ask;                   ///< Metadata from the client.
+  RouteTablePtr Table;              ///< Configuration that it began under.
+  const RouteSpec *Route = nullptr; ///< Points into Table.
+  std::string Organisation;         ///< Owner; empty: public route.
+  Fingerprint Content;              ///< The same for each try of the client.
   int Priority = 5;                 ///< For engines; 0 is the most urgent.
-  int Urgency = 0;                  ///< Where work waits; 0 goes first.
-  std::string PoolName;             ///< Who runs it.
-  TimePoint Arrived{};              ///< When its first byte came.
-  Duration UsedBefore{};            ///< Its caller's time, by earlier attempts.
-  TimePoint OnTimeBy{};             ///< An answer by then is on time.
-  TimePoint Deadline{};             ///< It is answered by then.
-  TimePoint ClientEnd{};            ///< The client waits until then.
-  TimePoint FirstBy{};              ///< The client wants a first event by then.
-  std::vector<StageProgress> Stages;     ///< Work to be done before.
-  TimerId StageTimer;                    ///< Begins a stage that was held back.
-  int StageRounds = 0;                   ///< Times that all stages were begun.
-  TimePoint StagesDone{};                ///< When the last one was done.
-  std::optional<ForwardAttempt> Attempt; ///< In progress.
+  int Urgency = 0;                  ///< Order in queues; 0 goes first.
+  std::string PoolName;             ///< Pool that runs it.
+  TimePoint Arrived{};              ///< When its first byte arrived.
+  Duration UsedBefore{};            ///< Time that the client spent on earlier
+                                    ///< tries.
+  TimePoint OnTimeBy{};           ///< Latest time of an answer that is on time.
+  TimePoint Deadline{};           ///< Latest time of the answer.
+  TimePoint ClientDeadline{};     ///< When the client gives up.
+  TimePoint FirstEventDeadline{}; ///< Latest time of the first event.
+  std::vector<StageProgress> Stages;     ///< Run before the request.
+  TimerId StageTimer;                    ///< Begins a delayed stage.
+  int StageRounds = 0;                   ///< Runs of the stages, with this one.
+  TimePoint StagesDone{};                ///< When the last stage was done.
+  std::optional<ForwardAttempt> Attempt; ///< Attempt in progress.
   std::vector<UpstreamId> Tried;         ///< Upstreams that it was sent to.
-  std::optional<EndedAttempt> Ended;     ///< Waits for another node's repeat.
-  bool RetryAsked = false;               ///< It has asked for one.
-  bool RetryLent = false;                ///< Its next repeat is counted there.
-  bool TurnAsked = false;                ///< It has asked for a turn once.
-  std::optional<UpstreamId> Lent;        ///< It has got a turn there.
-  int Sends = 0;                         ///< Attempts that were sent.
-  int Runs = 0;                          ///< Attempts that ran or may have.
-  bool HeadSent = false;                 ///< The client has the answer's head.
-  EventCursor Cursor;                    ///< Events that the client has.
-  TimePoint FirstEvent{};                ///< When the client got the first one.
-  std::string LastUpstream;              ///< For logs.
-  std::string LastFailure;               ///< For logs.
-  Duration Expected{};      ///< What it should take, when it was judged.
-  Duration RetryIn{};       ///< When to come back, if it is refused.
-  TimerId DeadlineTimer;    ///< Ends it.
-  TimerId SilenceTimer;     ///< Looks after a silent stream.
-  TimerId RetryTimer;       ///< Sends it again after a pause.
-  TimerId ReadTimer;        ///< When its upstream has read its inputs.
-  bool InputsFreed = false; ///< They are gone; another attempt needs new ones.
+  std::optional<EndedAttempt> Ended;     ///< Waits for a RetryAnswer.
+  bool RetryAsked = false;               ///< A RetryAsk was sent for it.
+  bool RetryLent = false;             ///< Another node counts its next repeat.
+  bool TurnAsked = false;             ///< A TurnAsk was sent for it.
+  std::optional<UpstreamId> LentTurn; ///< Upstream of a turn lent to it.
+  int Sends = 0;                      ///< Attempts that were sent.
+  int Runs = 0;                       ///< Attempts that ran or may have run.
+  bool HeadSent = false;              ///< The answer's head was sent.
+  EventCursor Cursor;                 ///< Events delivered to the client.
+  TimePoint FirstEvent{};             ///< When the first event was delivered.
+  std::string LastUpstream;           ///< Address, for logs.
+  std::string LastFailure;            ///< Reason, for logs.
+  Duration Expected{};   ///< Time it should take, estimated at admission.
+  Duration RetryIn{};    ///< Time until a retry, if it is refused.
+  TimerId DeadlineTimer; ///< Ends it at Deadline.
+  TimerId SilenceTimer;  ///< Ends a silent attempt.
+  TimerId RetryTimer;    ///< Sends it after a wait.
+  TimerId ReadTimer;     ///< Frees results that its upstream should have read.
+  bool InputsFreed = false; ///< Freed; another attempt needs new ones.
 };
 
 } // namespace fulmar
--- a/src/gateway_restart.cpp
+++ b/src/gateway_restart.cpp
@@ -1,4 +1,4 @@
-/// \file gateway_restart.cpp Requests whose upstream has started again.
+/// \file gateway_restart.cpp Requests whose upstream has restarted.
 #include <algorithm>
 
 #include "gateway_service.h"
@@ -8,8 +8,8 @@
 
 namespace fulmar {
 
-/// \return Whether \p R waits for the earlier start: its run began before the
-/// new one, and nothing of it has come since.
+/// \return Whether \p R waits for an answer of the earlier incarnation: its run
+/// began before the restart, and no event has arrived since.
 static bool waitsForEarlier(const ForwardRequest &R,
                             const UpstreamRestart &Restart) {
   const std::optional<ForwardAttempt> &A = R.Attempt;
@@ -17,8 +17,8 @@
          A->LastEventAt < Restart.StartedAt;
 }
 
-/// \return Whether \p R holds results that the earlier start kept, and has not
-/// been run with them.
+/// \return Whether \p R needs results that the earlier incarnation held, and
+/// has no run in progress.
 static bool needsLostResults(const ForwardRequest &R, const WireFormat &Wire,
                              const UpstreamRestart &Restart) {
   if (R.Attempt || R.HeadSent)
@@ -36,7 +36,7 @@
 void GatewayService::upstreamRestarted(const UpstreamRestart &Restart) {
   Client->closeIdle(Restart.Earlier.Address);
   OwnPools->restarted(Restart);
-  // What is sent again may go to the new start.
+  // Repeated requests may be sent to the new incarnation.
   upstreamsChanged({{Restart.Earlier, Restart.Later}});
   std::vector<RequestSerial> Cut;
   std::vector<RequestSerial> LostInputs;
@@ -46,8 +46,8 @@
     else if (needsLostResults(R, Wire, Restart))
       LostInputs.push_back(Serial);
   }
-  // Nobody is at work on these runs any more, and their connections may never
-  // say so.
+  // The process that ran these requests is gone, and their connections may
+  // never be closed.
   for (RequestSerial Serial : Cut) {
     ForwardRequest *R = find(Serial);
     if (!R || !R->Attempt)
@@ -57,12 +57,13 @@
     abandonAttempt(*R, "upstream started again");
   }
   for (RequestSerial Serial : LostInputs)
-    resultsLost(Serial);
+    redoLostResults(Serial);
 }
 
-/// Begins the stages again whose results are lost. Once only: what has no time
-/// for a third round fails when its inputs are found missing.
-void GatewayService::resultsLost(RequestSerial Serial) {
+/// Redoes the stages of a request whose results are lost, but only once. A
+/// request without time for a third round fails when its upstream finds the
+/// inputs missing.
+void GatewayService::redoLostResults(RequestSerial Serial) {
   ForwardRequest *R = find(Serial);
   if (!R || R->Attempt || R->StageRounds > 1)
     return;
--- a/src/gateway_retry.cpp
+++ b/src/gateway_retry.cpp
@@ -1,10 +1,10 @@
-/// \file gateway_retry.cpp Repeats of other nodes.
+/// \file gateway_retry.cpp Repeats that nodes lend each other.
 ///
-/// All nodes together may repeat a part of what upstreams get. In a large fleet
-/// most nodes see no failure in a window and some see several, and a share is
-/// less than one repeat; so a node that has none left asks another one. Each
-/// repeat is counted by the node that had it, so that the bound holds whatever
-/// nodes know of each other.
+/// The repeats of all nodes together are limited to a fraction of the requests.
+/// In a large fleet most nodes see no failure in a window and some see several,
+/// and a node's share is less than one repeat; so a node without repeats left
+/// asks another node for one. The lending node counts the repeat, so that the
+/// limit holds even if the nodes' member lists differ.
 #include "attempt_decision_func.h"
 #include "core/hash.h"
 #include "gateway_service.h"
@@ -14,36 +14,37 @@
 
 namespace fulmar {
 
-/// For the answer of a node that is asked.
-static constexpr Duration LoanPatience = std::chrono::milliseconds(30);
-/// Members that are looked at for one that has a repeat.
-static constexpr std::size_t MembersLookedAt = 16;
+/// Timeout of a RetryAsk.
+static constexpr Duration RetryAskTimeout = std::chrono::milliseconds(30);
+/// Members that are searched for one that has a repeat.
+static constexpr std::size_t MaxSearchedMembers = 16;
 
-/// \return A node's lot among those that share the repeats of a pool.
-static double retryLot(const std::string &Node, const std::string &Pool) {
+/// \return Hash of a node and a pool, from 0 to 1, which selects the nodes that
+/// have a repeat.
+static double retryNodeHash(const std::string &Node, const std::string &Pool) {
   return static_cast<double>(hash64(Node, hash64(Pool)) >> 11) * 0x1.0p-53;
 }
 
-/// \return What this node may repeat for a pool.
+/// \return The repeats that this node may make for a pool.
 RetryAllowance GatewayService::allowance(const std::string &Pool) const {
   RetryAllowance A = allowance();
-  A.Lot = retryLot(Members->state().Self.Id, Pool);
+  A.Lot = retryNodeHash(Members->state().Self.Id, Pool);
   return A;
 }
 
 /// \return Another node that has a repeat for a pool; empty: none was found.
 std::string GatewayService::retryOwner(const std::string &Pool) {
   RetryAllowance Theirs = allowance();
-  for (const std::string &Node : Members->randomIds(MembersLookedAt)) {
-    Theirs.Lot = retryLot(Node, Pool);
+  for (const std::string &Node : Members->randomIds(MaxSearchedMembers)) {
+    Theirs.Lot = retryNodeHash(Node, Pool);
     if (retryShare(Theirs) >= 1)
       return Node;
   }
   return {};
 }
 
-/// Asks another node for a repeat, where that is all that an attempt's request
-/// lacks.
+/// Asks another node for a repeat, if an ended attempt would be retried but for
+/// the budget.
 /// \return Whether the request waits for the answer.
 bool GatewayService::askForRetry(ForwardRequest &R, AttemptFacts Facts,
                                  const HttpAnswer &Answer) {
@@ -58,16 +59,16 @@
     return false;
   R.RetryAsked = true;
   R.Ended = {Facts, Answer, R.Attempt && R.Attempt->Streaming};
-  judgeUpstream(R, Facts.Outcome, Facts.Effect);
+  recordOutcome(R, Facts.Outcome, Facts.Effect);
   closeAttempt(R);
   Peers->sendTo(Owner, RetryAsk{R.Serial.Value, R.PoolName});
-  R.RetryTimer = Timers->after(LoanPatience, [this, Serial = R.Serial] {
+  R.RetryTimer = Timers->after(RetryAskTimeout, [this, Serial = R.Serial] {
     retryAnswered({Serial.Value, /*Lent=*/false});
   });
   return true;
 }
 
-/// Another node asks for a repeat of this one.
+/// Lends one of this node's repeats to the node that asks for it, if possible.
 void GatewayService::lendRetry(const std::string &From, const RetryAsk &Ask) {
   RetryAnswer Answer{Ask.Serial, /*Lent=*/false};
   RetryWindow &Window = Retries[Ask.Pool];
@@ -79,7 +80,7 @@
   Peers->sendTo(From, Answer);
 }
 
-/// The node that was asked has answered, or has not in time.
+/// Handles the answer to a RetryAsk, or its timeout.
 void GatewayService::retryAnswered(const RetryAnswer &Answer) {
   ForwardRequest *R = find(RequestSerial{Answer.Serial});
   if (!R || !R->Ended)
@@ -89,7 +90,7 @@
   EndedAttempt Ended = *R->Ended;
   Ended.Facts.Budget = Answer.Lent;
   R->RetryLent = Answer.Lent;
-  follow(*R, Ended.Facts, Ended.Answer);
+  applyDecision(*R, Ended.Facts, Ended.Answer);
 }
 
 } // namespace fulmar
--- a/src/gateway_service.cpp
+++ b/src/gateway_service.cpp
@@ -19,26 +19,26 @@
 
 namespace fulmar {
 
-/// Between two looks at slow upstreams and at pools with expired ejections.
+/// Interval of the checks for slow upstreams and expired ejections.
 static constexpr Duration SweepPeriod = std::chrono::milliseconds(500);
-/// Final answers of a stopping node leave this much before the process is
-/// ended; the process ends by itself 300 ms before.
+/// A draining node sends its final answers this much before the process is
+/// killed; the process exits by itself 300 ms before that.
 static constexpr Duration EndMargin = std::chrono::milliseconds(700);
-/// Part by which times to come back are longer at most.
-static constexpr double ComeBackSpread = 0.4;
-/// Calls of this node that one engine may have above the others' mean before a
-/// session is sent elsewhere. A session's part of a prompt is several thousand
-/// tokens, a tenth of a second of an engine's time; a few more requests beside
-/// it slow it by a few per cent.
-static constexpr double SessionSlack = 4;
+/// Largest random addition to retry times, as a fraction.
+static constexpr double RetryAfterJitter = 0.4;
+/// Calls of this node that an engine may have in flight above the mean of the
+/// others before its sessions are sent to another engine. The session's part of
+/// a prompt is several thousand tokens, a tenth of a second of an engine's
+/// time; a few more concurrent requests slow an engine by a few per cent.
+static constexpr double SessionAffinitySlack = 4;
 
 GatewayService::GatewayService(Kernel &K, const GatewaySettings &S,
                                const WireFormat &W, std::uint64_t Seed)
     : Services(K), Config(S), Wire(W), Rng(Seed) {
-  // Upstreams say themselves when they are full; a limit of ours that follows
-  // latency would mistake a long prompt for crowding.
+  // Upstreams refuse requests when they are full; a limit that adapts to the
+  // latency would take a long prompt for overload.
   Policy.Limit = LimitRule::Fixed;
-  Policy.AffinitySlack = SessionSlack;
+  Policy.AffinitySlack = SessionAffinitySlack;
 }
 
 void GatewayService::start() {
@@ -101,9 +101,10 @@
   Server->closeAfterAnswers(true);
 }
 
-/// Refuses what waits for its stages and cannot be run to its end any more. A
-/// process that ends with such a request closes its connection without a word,
-/// and the client of a non-idempotent one cannot know that it has not run.
+/// Refuses requests that wait for their stages and cannot be completed any
+/// more. If the process exited with such a request, its connection would close
+/// without an answer, and the client of a non-idempotent one could not know
+/// that it has not run.
 void GatewayService::refuseBeforeEnd() {
   std::vector<RequestSerial> Waiting;
   for (const auto &[Serial, R] : Requests) {
@@ -140,7 +141,7 @@
   return A;
 }
 
-/// \return Nodes that share what upstreams take, this one included.
+/// \return Number of nodes that share the limits of upstreams, with this one.
 double GatewayService::sharingNodes() const {
   return static_cast<double>(std::max<std::size_t>(1, Members->size()));
 }
@@ -171,11 +172,11 @@
 
 void GatewayService::sweep() {
   NodesAgree = Peers->membersAgree();
-  for (const std::string &Name : std::exchange(Judged, {}))
+  for (const std::string &Name : std::exchange(PoolsToSweep, {}))
     ejectSlow(Pools[Name], Policy, Timers->now());
-  for (const std::string &Name : std::exchange(Paced, {})) {
+  for (const std::string &Name : std::exchange(PacedPools, {})) {
     Pool &P = Pools[Name];
-    // The fleet's time moves on when another node turns out to be ahead.
+    // The fleet's clock is advanced when another node's is found to be ahead.
     for (Upstream &U : P.Upstreams) {
       if (U.Pace.Turns.Interval > Duration::zero())
         setPace(P, U, ColdRates[Name]);
@@ -204,22 +205,22 @@
   if (!R)
     return;
   dropAttempt(*R);
-  conclude(*R, ResultCode::CallerLeftRunning, 0);
+  removeRequest(*R, ResultCode::CallerLeftRunning, 0);
 }
 
-/// \return When a client that is refused should come back: the time asked for,
-/// or the code's own, spread. Clients that were refused together, as a burst
-/// is, would otherwise return together and be refused again.
-Duration GatewayService::comeBackIn(ResultCode Code, Duration RetryIn) {
+/// \return Time until a refused client should retry: \p RetryIn or else the
+/// code's default, with jitter. Clients that were refused together in a burst
+/// would otherwise retry together and be refused again.
+Duration GatewayService::retryAfter(ResultCode Code, Duration RetryIn) {
   if (RetryIn <= Duration::zero())
     RetryIn = std::chrono::milliseconds(resultInfo(Code).RetryAfterMs);
-  return fromMs(toMs(RetryIn) * (1 + ComeBackSpread * randomUnit(Rng)));
+  return fromMs(toMs(RetryIn) * (1 + RetryAfterJitter * randomUnit(Rng)));
 }
 
 void GatewayService::finish(ForwardRequest &R, ResultCode Code,
                             Duration RetryIn) {
-  // Stages that are done again, or a stop, may end a request whose earlier
-  // attempt ran: that it did not would be a lie.
+  // Redone stages, or a stop, may end a request whose earlier attempt may have
+  // run; the client must then not be told that it has not run.
   if (resultFamily(Code) == ResultFamily::NotRun && R.Runs > 0)
     Code = ResultCode::AnswerLost;
   HttpExchangePtr Exchange = R.Exchange;
@@ -227,36 +228,38 @@
   std::string Id = R.Ask.RequestId;
   if (!Begun) {
     callerTimeRefused(timesOf(R).Callers);
-    RetryIn = comeBackIn(Code, RetryIn);
+    RetryIn = retryAfter(Code, RetryIn);
     R.RetryIn = RetryIn;
   }
-  conclude(R, Code, resultInfo(Code).HttpStatus);
+  removeRequest(R, Code, resultInfo(Code).HttpStatus);
   if (Begun)
     Exchange->abort();
   else
     replyCode(*Exchange, Code, Id, RetryIn);
 }
 
-void GatewayService::finishWith(ForwardRequest &R, const HttpAnswer &Answer) {
+void GatewayService::finishWithAnswer(ForwardRequest &R,
+                                      const HttpAnswer &Answer) {
   HttpExchangePtr Exchange = R.Exchange;
   constexpr int FirstBadStatus = 300;
   smoothTime(timesOf(R).Whole, Timers->now() - R.Arrived);
-  conclude(R,
-           Answer.Status < FirstBadStatus ? ResultCode::Complete
-                                          : ResultCode::StageFailed,
-           Answer.Status);
+  removeRequest(R,
+                Answer.Status < FirstBadStatus ? ResultCode::Complete
+                                               : ResultCode::StageFailed,
+                Answer.Status);
   Exchange->reply(Answer.Status, Answer.Body, Wire.replyHeaders(Answer));
 }
 
 void GatewayService::finishStream(ForwardRequest &R) {
   HttpExchangePtr Exchange = R.Exchange;
   smoothTime(timesOf(R).Whole, Timers->now() - R.StagesDone);
-  conclude(R, ResultCode::Complete, HttpOk);
+  removeRequest(R, ResultCode::Complete, HttpOk);
   Exchange->endStream();
 }
 
-/// Takes a request out of the books.
-void GatewayService::conclude(ForwardRequest &R, ResultCode Code, int Status) {
+/// Logs and counts a request that has ended, and removes it.
+void GatewayService::removeRequest(ForwardRequest &R, ResultCode Code,
+                                   int Status) {
   TimePoint Now = Timers->now();
   R.Exchange->OnClosed = nullptr;
   R.Exchange->OnDrained = nullptr;
@@ -287,7 +290,7 @@
       {"took_ms", toMs(Now - R.Arrived)},
       {"retry_in_ms", toMs(R.RetryIn)},
       {"failure", R.LastFailure}};
-  // Of requests that ended well one may do without the line, of others not.
+  // Log lines of completed requests may be left out, others may not.
   if (Code == ResultCode::Complete)
     logRoutine("request_done", Fields);
   else
--- a/src/gateway_service.h
+++ b/src/gateway_service.h
@@ -22,30 +22,30 @@
 class QuarantineService;
 class RateLimitService;
 
-/// What a route's requests took lately.
+/// Recent times of a route's requests, smoothed.
 struct RouteTimes {
-  std::vector<Duration> Stages; ///< Each stage, smoothed.
-  Duration FirstEvent{};        ///< From the send to the first event.
-  Duration Whole{};             ///< From the send to the end.
-  CallerTime Callers;           ///< What callers say of their time.
+  std::vector<Duration> Stages; ///< By stage.
+  Duration FirstEvent{};        ///< From a send to the first event.
+  Duration Whole{};   ///< Of a whole request, without the stages of a stream.
+  CallerTime Callers; ///< Time limits that clients send.
 };
 
-/// \return What chooses a session's upstream: the last part of its prompt that
-/// other requests share. Zero: nothing is shared.
+/// \return Hash that selects the upstream of a request's session: of the last
+/// part of its prompt that it shares with other requests. Zero: no affinity.
 std::uint64_t affinityOf(const ForwardRequest &R);
 
-/// \return What is left of \p Rest when everything goes quickly: hopeless is
-/// only what even that could not save.
-Duration quickRest(Duration Rest);
+/// \return Least time that the work of \p Rest, its usual time, can take. A
+/// request is refused as hopeless only if this is too long.
+Duration minRemainingTime(Duration Rest);
 
-/// \return How many pieces a request has of a stage.
+/// \return Number of pieces of a request's stage.
 int piecesOf(const ForwardRequest &R, std::size_t Index);
 
-/// \return Where a request's work waits, 0 first, by the priorities of its
-/// organisation and of its route.
+/// \return The order of a request's work in queues, 0 first, by the priorities
+/// of its organisation and of its route.
 int urgencyOf(int Organisation, int Route);
 
-/// Smooths one of a route's times; the first value counts whole.
+/// Updates a smoothed time. The first value is taken as it is.
 void smoothTime(Duration &Time, Duration Newest);
 
 /// Passes clients' requests on to upstreams.
@@ -57,44 +57,45 @@
   void start() override;
   void stop() override;
 
-  /// The node stops: connections end after their answers, and from \p RefuseAt
-  /// on nothing is taken in that could not end before \p EndsAt.
-  void drain(TimePoint RefuseAt, TimePoint EndsAt);
-  /// Gives final answers to what cannot be run before the process ends; to be
-  /// called again and again while draining.
+  /// Begins to drain: connections close after their answers, and from
+  /// \p RefuseFrom on requests are refused that could not end before \p Ends.
+  void drain(TimePoint RefuseFrom, TimePoint Ends);
+  /// Answers requests that cannot be completed before the process ends; to be
+  /// called periodically while draining.
   void refuseBeforeEnd();
-  /// \return Whether requests can be served at all.
+  /// \return Whether this node can serve requests.
   bool ready() const;
-  /// \return Clients that wait for bytes of answers that were written.
+  /// \return Clients with bytes of ended answers still unsent.
   std::size_t unsentAnswers() const { return Server->unsent(); }
   /// \return Requests in progress.
   std::size_t requests() const { return Requests.size(); }
-  /// \return What is counted, for the metrics.
+  /// \return Metrics of the requests.
   const GatewayMetrics &metrics() const { return Metrics; }
-  /// \return Pools that requests are passed on to, for the metrics.
+  /// \return Pools that requests are passed on to.
   const std::map<std::string, Pool> &pools() const { return Pools; }
 
 private:
-  // gateway_admission.cpp: taking requests in.
+  // gateway_admission.cpp: admission of requests.
   void accept(const HttpExchangePtr &Exchange);
   ResultCode admit(ForwardRequest &R);
   void refuseAdmission(const ForwardRequest &R, ResultCode Code);
   bool cannotEndInGrace(const ForwardRequest &R) const;
 
-  // gateway_stages.cpp: work to be done before.
+  // gateway_stages.cpp: stages before a request's run.
   void beginStages(ForwardRequest &R);
   void startReadyStages(RequestSerial Serial);
   void beginStage(ForwardRequest &R, std::size_t Index);
   void askStage(ForwardRequest &R, std::size_t Index);
 
-  // gateway_plan.cpp: what stages should take, when and where they are done.
-  Duration resultLife(const ForwardRequest &R, const std::string &Pool) const;
-  TimePoint inputsLast(const ForwardRequest &R, std::size_t Index) const;
+  // gateway_plan.cpp: expected times, begin and placement of stages.
+  Duration usableResultLife(const ForwardRequest &R,
+                            const std::string &Pool) const;
+  TimePoint inputsExpireAt(const ForwardRequest &R, std::size_t Index) const;
   Duration stageTime(const ForwardRequest &R, std::size_t Index) const;
-  Duration chainLeft(const ForwardRequest &R, std::size_t Index) const;
-  Duration holdBack(const ForwardRequest &R, std::size_t Index) const;
+  Duration chainRemaining(const ForwardRequest &R, std::size_t Index) const;
+  Duration startDelay(const ForwardRequest &R, std::size_t Index) const;
   Duration expectedPath(const ForwardRequest &R) const;
-  Duration latePath(const ForwardRequest &R) const;
+  Duration expectedLatePath(const ForwardRequest &R) const;
   std::string bestDomain(const ForwardRequest &R, std::size_t Index);
   std::string domainOfInputs(const ForwardRequest &R, std::size_t Index) const;
   bool mayRedo(const ForwardRequest &R, std::size_t Index, BatchEnd End) const;
@@ -104,11 +105,11 @@
   void freeStages(ForwardRequest &R);
   void cancelStages(ForwardRequest &R);
   std::vector<std::string> finalInputs(const ForwardRequest &R) const;
-  Duration restAfter(const ForwardRequest &R, std::size_t Index) const;
+  Duration timeAfter(const ForwardRequest &R, std::size_t Index) const;
 
-  // gateway_restart.cpp: upstreams that start again.
+  // gateway_restart.cpp: upstreams that restart.
   void upstreamRestarted(const UpstreamRestart &Restart);
-  void resultsLost(RequestSerial Serial);
+  void redoLostResults(RequestSerial Serial);
 
   // gateway_quarantine.cpp: requests that crash upstreams.
   void reportRun(const ForwardRequest &R, const HttpAnswer &Answer,
@@ -118,7 +119,7 @@
   void refuseQuarantined(ForwardRequest &R);
   void endQuarantined(Fingerprint Content);
 
-  // gateway_rate_limit.cpp: upstreams in need.
+  // gateway_rate_limit.cpp: upstreams that announce a rate limit.
   void reportRateLimit(const ForwardRequest &R, const ForwardReply &Reply);
   void rateLimitChanged(const Incarnation &Start);
   std::optional<double> limitedRate(const Pool &P) const;
@@ -128,7 +129,7 @@
                    const Upstream &U) const;
   void setPace(Pool &P, Upstream &U, double ColdRate);
 
-  // gateway_turns.cpp: turns of other nodes.
+  // gateway_turns.cpp: send turns lent between nodes.
   std::string turnOwner(const Upstream &U);
   bool askForTurn(ForwardRequest &R, Pool &P, const ChoiceHints &Hints);
   void lendTurn(const std::string &From, const TurnAsk &Ask);
@@ -136,7 +137,7 @@
   bool waitForTurn(ForwardRequest &R, const Pool &P);
   std::optional<std::size_t> lentUpstream(ForwardRequest &R, const Pool &P);
 
-  // gateway_retry.cpp: repeats of other nodes.
+  // gateway_retry.cpp: repeats lent between nodes.
   RetryAllowance allowance(const std::string &Pool) const;
   std::string retryOwner(const std::string &Pool);
   bool askForRetry(ForwardRequest &R, AttemptFacts Facts,
@@ -144,31 +145,31 @@
   void lendRetry(const std::string &From, const RetryAsk &Ask);
   void retryAnswered(const RetryAnswer &Answer);
 
-  // gateway_attempt.cpp: sends and their answers.
+  // gateway_attempt.cpp: attempts and their answers.
   void sendAttempt(RequestSerial Serial);
-  void planFree(ForwardRequest &R);
+  void scheduleInputRelease(ForwardRequest &R);
   HttpCallbacks attemptCallbacks(RequestSerial Serial);
   void abandonAttempt(ForwardRequest &R, std::string Why);
   void attemptSent(RequestSerial Serial);
   void attemptHead(RequestSerial Serial, const HttpAnswer &Answer);
   void attemptChunk(RequestSerial Serial, std::string_view Bytes);
-  void passEvent(ForwardRequest &R, const StreamEvent &Event);
+  void forwardEvent(ForwardRequest &R, const StreamEvent &Event);
   void attemptDone(RequestSerial Serial, const HttpAnswer &Answer);
   void afterAttempt(ForwardRequest &R, AttemptOutcome Outcome,
                     AttemptEffect Effect, const HttpAnswer &Answer,
                     bool Expired);
-  void follow(ForwardRequest &R, const AttemptFacts &Facts,
-              const HttpAnswer &Answer);
+  void applyDecision(ForwardRequest &R, const AttemptFacts &Facts,
+                     const HttpAnswer &Answer);
   void redoStages(ForwardRequest &R);
-  Duration patience(const ForwardRequest &R) const;
+  Duration silenceTimeout(const ForwardRequest &R) const;
   void watchSilence(ForwardRequest &R);
   void closeAttempt(ForwardRequest &R);
   void dropAttempt(ForwardRequest &R);
-  void judgeUpstream(ForwardRequest &R, AttemptOutcome Outcome,
+  void recordOutcome(ForwardRequest &R, AttemptOutcome Outcome,
                      AttemptEffect Effect);
-  bool hasElsewhere(const ForwardRequest &R) const;
+  bool hasOtherUpstream(const ForwardRequest &R) const;
 
-  // gateway_service.cpp: the rest.
+  // gateway_service.cpp: changes of the configuration and of the fleet.
   void configChanged();
   void membersChanged();
   void sweep();
@@ -184,54 +185,60 @@
   void shareLimits();
   void deadline(RequestSerial Serial);
   void clientLeft(RequestSerial Serial);
-  Duration comeBackIn(ResultCode Code, Duration RetryIn);
+  Duration retryAfter(ResultCode Code, Duration RetryIn);
   void finish(ForwardRequest &R, ResultCode Code, Duration RetryIn = {});
-  void finishWith(ForwardRequest &R, const HttpAnswer &Answer);
+  void finishWithAnswer(ForwardRequest &R, const HttpAnswer &Answer);
   void finishStream(ForwardRequest &R);
-  void conclude(ForwardRequest &R, ResultCode Code, int Status);
+  void removeRequest(ForwardRequest &R, ResultCode Code, int Status);
   ForwardRequest *find(RequestSerial Serial);
   double sharingNodes() const;
   RetryAllowance allowance() const;
   RouteTimes &timesOf(const ForwardRequest &R);
 
-  Kernel &Services;                  ///< Finds the others.
-  const GatewaySettings &Config;     ///< Bounds.
-  const WireFormat &Wire;            ///< Translates.
-  Random Rng;                        ///< Choices and spreads.
-  RouterPolicy Policy;               ///< Choice of upstreams.
-  TimerService *Timers = nullptr;    ///< Time.
+  Kernel &Services;              ///< Finds other services.
+  const GatewaySettings &Config; ///< Settings of this node.
+  const WireFormat &Wire; ///< Platform's encoding of requests and answers.
+  Random Rng;             ///< Random choices and jitter.
+  RouterPolicy Policy;    ///< Choice of upstreams.
+  TimerService *Timers = nullptr;    ///< Clock and timers.
   HttpClient *Client = nullptr;      ///< Calls upstreams.
   RouteFeed *Routes = nullptr;       ///< The configuration.
   UpstreamFeed *Upstreams = nullptr; ///< The list of upstreams.
   MemberService *Members = nullptr;  ///< The other nodes.
-  PeerService *Peers = nullptr;      ///< The fleet's time.
-  BatchRelay *Batches = nullptr;     ///< Work to be done before.
-  BatchService *OwnPools = nullptr;  ///< Pools whose calls are formed here.
-  QuarantineService *Quarantined = nullptr; ///< Requests not to be sent.
-  RateLimitService *RateLimited = nullptr;  ///< Upstreams in need.
+  PeerService *Peers = nullptr;      ///< Messages and clock of the fleet.
+  BatchRelay *Batches = nullptr;     ///< Requests pieces of stages.
+  BatchService *OwnPools = nullptr; ///< Batch pools that this node coordinates.
+  QuarantineService *Quarantined = nullptr; ///< Quarantined requests.
+  RateLimitService *RateLimited = nullptr;  ///< Upstreams with a rate limit.
   std::unique_ptr<HttpServer> Server;       ///< Listens for clients.
   std::map<std::string, Pool> Pools;        ///< Plain pools and engines.
-  std::set<std::string> Judged; ///< Pools with calls that ended lately.
-  std::set<std::string> Paced;  ///< Pools with upstreams that take little.
-  std::map<std::string, std::string> DomainOf; ///< Of upstreams, by address.
-  std::map<std::string, double> ColdRates; ///< By pool; requests a second that
-                                           ///< a cold upstream bears.
+  /// Pools with attempts that ended since the latest sweep().
+  std::set<std::string> PoolsToSweep;
+  /// Pools with upstreams that this node sends to in turns.
+  std::set<std::string> PacedPools;
+  /// Failure domains of upstreams, by address.
+  std::map<std::string, std::string> DomainOf;
+  std::map<std::string, double> ColdRates; ///< By pool; requests per second
+                                           ///< of a cold upstream.
   std::map<std::string, LimitQueue> LimitQueues; ///< By pool, while all of its
-                                                 ///< upstreams name a limit.
-  std::map<std::string, RetryWindow> Retries;    ///< By pool.
-  std::map<std::string, RouteTimes> Times;       ///< By route.
+                                                 ///< upstreams announce a
+                                                 ///< rate limit.
+  std::map<std::string, RetryWindow> Retries; ///< Sends and repeats, by pool.
+  std::map<std::string, RouteTimes> Times;    ///< Smoothed times, by route.
   std::map<RequestSerial, ForwardRequest> Requests; ///< In progress.
-  std::uint64_t LastSerial = 0;                     ///< Counts requests.
-  std::uint32_t LastUpstream = 0;                   ///< Counts upstreams.
-  std::vector<std::string> Nodes;                   ///< Known and live, sorted.
-  bool NodesAgree = false; ///< The others know the same ones.
-  double SharingNodes = 0; ///< Live nodes, when limits were last shared.
-  double MostNodes = 1; ///< That were known at any time. Nodes that are cut off
-                        ///< from each other still send to the same upstreams.
-  ReadWait InputsRead;  ///< Until upstreams have read a run's inputs.
-  TimePoint RefuseAt{}; ///< While draining; zero: not draining.
-  TimePoint EndsAt{};   ///< When the process will be ended.
-  GatewayMetrics Metrics; ///< For operators.
+  std::uint64_t LastSerial = 0;                     ///< Of the latest request.
+  std::uint32_t LastUpstream = 0;                   ///< Of the latest upstream.
+  std::vector<std::string> Nodes; ///< Ids of live nodes, sorted.
+  bool NodesAgree = false;        ///< The other nodes have the same members.
+  /// Live nodes when the shares of limits were last computed.
+  double SharingNodes = 0;
+  double MaxNodesSeen = 1; ///< Largest number of live nodes so far. In a
+                           ///< network partition all nodes still send to the
+                           ///< same upstreams.
+  ReadWait InputsRead;     ///< Time until upstreams have read their inputs.
+  TimePoint RefuseAt{}; ///< Requests are refused from then; zero: not draining.
+  TimePoint EndsAt{};   ///< When the process is killed.
+  GatewayMetrics Metrics; ///< Metrics of the requests.
 };
 
 } // namespace fulmar
--- a/src/gateway_settings.cpp
+++ b/src/gateway_settings.cpp
@@ -1,4 +1,4 @@
-/// \file gateway_settings.cpp Reading a forwarding node's settings.
+/// \file gateway_settings.cpp Reads a forwarding node's settings.
 #include "gateway_settings_func.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace fulmar {
 
-/// Checks the settings that are addresses, which the table knows as texts.
+/// Checks the addresses and the log level, which the table defines as strings.
 static void checkAddresses(const Json &Root, const GatewaySettings &S,
                            FieldCheck &Check) {
   struct Row {
@@ -64,18 +64,19 @@
   return fieldsMarkdown<GatewaySettings>(GatewaySettingsTable);
 }
 
-/// A usual host has this much of a core and this link, in Mbit/s: what the
-/// nodes of a small fleet have, and what work for the whole fleet needs.
-static constexpr double UsualCpuShare = 0.25;
-static constexpr double UsualLinkMbps = 100;
-/// Nothing is done better by a node that is stronger than this many usual ones.
-static constexpr double MostStrength = 4;
+/// Share of a core and link, in Mbit/s, of a typical host: what the nodes of a
+/// small fleet have, and what work for the whole fleet needs.
+static constexpr double TypicalCpuShare = 0.25;
+static constexpr double TypicalLinkMbps = 100;
+/// Upper bound of a host's strength, in typical hosts: no work gains from a
+/// stronger node.
+static constexpr double MaxStrength = 4;
 
-/// \return How much work a node's host can take, per cent of a usual one.
+/// \return How much work a node's host can take, in per cent of a typical host.
 static std::int64_t strengthOf(const GatewaySettings &S) {
   double Least =
-      std::min(S.CpuShare / UsualCpuShare, S.LinkMbps / UsualLinkMbps);
-  return static_cast<std::int64_t>(100 * std::min(MostStrength, Least)) + 1;
+      std::min(S.CpuShare / TypicalCpuShare, S.LinkMbps / TypicalLinkMbps);
+  return static_cast<std::int64_t>(100 * std::min(MaxStrength, Least)) + 1;
 }
 
 Settings commonSettings(const GatewaySettings &S) {
--- a/src/gateway_settings_func.h
+++ b/src/gateway_settings_func.h
@@ -1,4 +1,4 @@
-/// \file gateway_settings_func.h Reading a forwarding node's settings.
+/// \file gateway_settings_func.h Reads a forwarding node's settings.
 #ifndef FULMARSTEP_GATEWAY_SETTINGS_FUNC_H
 #define FULMARSTEP_GATEWAY_SETTINGS_FUNC_H
 
@@ -18,7 +18,7 @@
 /// Writes the table of docs/SETTINGS.md.
 std::string gatewaySettingsMarkdown();
 
-/// \return What the services want that both kinds of node have.
+/// \return The settings of the services that all kinds of node share.
 Settings commonSettings(const GatewaySettings &S);
 
 } // namespace fulmar
--- a/src/gateway_stages.cpp
+++ b/src/gateway_stages.cpp
@@ -1,4 +1,4 @@
-/// \file gateway_stages.cpp Work that is done before a request can run.
+/// \file gateway_stages.cpp Stages that are done before a request can run.
 #include <algorithm>
 
 #include "gateway_service.h"
@@ -8,7 +8,7 @@
 
 namespace fulmar {
 
-/// Weight of the newest value in a route's smoothed times.
+/// Weight of the newest value in the smoothed times.
 static constexpr double TimeGain = 0.1;
 void smoothTime(Duration &Time, Duration Newest) {
   if (Time == Duration::zero())
@@ -37,9 +37,9 @@
   return true;
 }
 
-/// Begins a stage that is ready, or plans its begin.
+/// Begins a stage whose inputs are ready, or schedules its begin.
 void GatewayService::beginStage(ForwardRequest &R, std::size_t Index) {
-  Duration Hold = holdBack(R, Index);
+  Duration Hold = startDelay(R, Index);
   if (Hold == Duration::zero())
     return askStage(R, Index);
   Timers->cancel(R.StageTimer);
@@ -51,8 +51,8 @@
 
 void GatewayService::startReadyStages(RequestSerial Serial) {
   ForwardRequest *R = find(Serial);
-  // A timer of a stage that was held back may come after the last stage ended:
-  // a request that is already being run must not be sent a second time.
+  // The timer of a delayed stage may fire after the last stage has ended; a
+  // request that is already running must not be sent a second time.
   if (R->StagesDone > TimePoint{})
     return;
   bool Again = true;
@@ -67,7 +67,7 @@
         if (Stage.Pieces > 0) {
           beginStage(*R, I);
         } else {
-          // A stage without pieces has no results; others may go on.
+          // A stage without pieces is done at once, so others may be ready.
           Stage.State = StageState::Done;
           Again = true;
         }
@@ -86,7 +86,7 @@
   StageProgress &Stage = R.Stages[Index];
   Stage.State = StageState::Running;
   Stage.Asked = Timers->now();
-  Duration Rest = restAfter(R, Index);
+  Duration Rest = timeAfter(R, Index);
   BatchRequest Ask;
   Ask.RequestId = R.Ask.RequestId;
   Ask.Stage = static_cast<int>(Index);
@@ -96,7 +96,7 @@
   Ask.Domain = bestDomain(R, Index);
   Ask.Content = stageFingerprint(R.Content, Spec.Pool);
   Ask.Due = R.OnTimeBy - Rest - Timers->now();
-  Ask.Deadline = R.FirstBy - quickRest(Rest) - Timers->now();
+  Ask.Deadline = R.FirstEventDeadline - minRemainingTime(Rest) - Timers->now();
   if (Spec.After.empty())
     Ask.Key = R.Ask.PieceKey;
   for (int Needed : Spec.After) {
@@ -105,7 +105,8 @@
                       Input.Handles.end());
     Ask.TellRead = Ask.TellRead || Input.SpaceScarce;
   }
-  Ask.Deadline = std::min(Ask.Deadline, inputsLast(R, Index) - Timers->now());
+  Ask.Deadline =
+      std::min(Ask.Deadline, inputsExpireAt(R, Index) - Timers->now());
   Stage.Ticket = Batches->ask(
       Spec.Pool, Ask,
       [this, Serial = R.Serial, Index](const BatchResult &Result) {
@@ -120,16 +121,16 @@
       });
 }
 
-/// \return The code that tells a client why a stage was not done.
+/// \return The result code of a request whose stage was not done.
 static ResultCode stageCode(BatchEnd End) {
   return End == BatchEnd::Hopeless || End == BatchEnd::Full
              ? ResultCode::StageHopeless
              : ResultCode::StageUnavailable;
 }
 
-/// \return Whether a stage that failed is a reason to begin all of them again:
-/// its inputs are gone, or would have been before its turn, and the client
-/// still waits for longer than the whole should take. Once only.
+/// \return Whether all stages are redone after one has failed: its inputs are
+/// gone, or would have expired before its turn and the client still waits for
+/// longer than the whole request should take. Stages are redone only once.
 bool GatewayService::mayRedo(const ForwardRequest &R, std::size_t Index,
                              BatchEnd End) const {
   if (R.StageRounds > 1 || R.Route->Stages[Index].After.empty())
@@ -137,7 +138,7 @@
   if (End == BatchEnd::InputsGone)
     return true;
   return End == BatchEnd::Hopeless &&
-         Timers->now() + expectedPath(R) < R.FirstBy;
+         Timers->now() + expectedPath(R) < R.FirstEventDeadline;
 }
 
 void GatewayService::stageEnded(RequestSerial Serial, std::size_t Index,
@@ -173,8 +174,8 @@
   startReadyStages(Serial);
 }
 
-/// Frees the results that only the stage at \p Index needed, which is done or
-/// has read them.
+/// Frees the inputs of the stage at \p Index, which is done or has read them,
+/// unless other stages still need them.
 void GatewayService::freeInputsOf(ForwardRequest &R, std::size_t Index) {
   for (int Needed : R.Route->Stages[Index].After) {
     bool Wanted = false;
@@ -223,8 +224,8 @@
   return Inputs;
 }
 
-/// A result is gone before its use: its upstream ended, or kept it for too
-/// short a time. All stages are done again, once.
+/// Redoes all stages. A result was lost before its use, because its upstream
+/// ended or did not keep it for long enough, or it has been freed already.
 void GatewayService::redoStages(ForwardRequest &R) {
   logEvent(LogLevel::Info, "stages_redone",
            {{"id", R.Ask.RequestId}, {"rounds", R.StageRounds}});
--- a/src/gateway_turns.cpp
+++ b/src/gateway_turns.cpp
@@ -1,10 +1,10 @@
-/// \file gateway_turns.cpp Turns of other nodes to send to an upstream that
-/// names a limit.
+/// \file gateway_turns.cpp Turns to send to an upstream with a rate limit,
+/// which nodes lend each other.
 ///
-/// In a large fleet each node's own turn comes seldom, and mostly when nobody
-/// asks for that upstream. So a node asks one whose turn it is. A turn is used
-/// once, by whomever, so that the limit holds whatever nodes know of each
-/// other, and an answer that does not come costs nothing but the turn.
+/// In a large fleet each node's own turn is rare, and mostly comes when the
+/// node has no request for that upstream. So a node asks another one whose turn
+/// it is. A turn is used only once, by either node, so that the limit holds
+/// even if the nodes' member lists differ; a lost answer costs only the turn.
 #include <algorithm>
 #include <utility>
 
@@ -17,24 +17,23 @@
 
 namespace fulmar {
 
-/// For the answer of a node whose turn is asked for.
-static constexpr Duration TurnPatience = std::chrono::milliseconds(30);
+/// Timeout of a TurnAsk.
+static constexpr Duration TurnAskTimeout = std::chrono::milliseconds(30);
 
-/// A request that waits for a turn looks again after this time at the earliest.
-static constexpr Duration LeastTurnWait = std::chrono::milliseconds(20);
-/// Asks of one node for one upstream are apart by this part of the time after
-/// which another node's turn begins, and never less than the shortest time.
-static constexpr double AskAgainPart = 0.25;
-static constexpr Duration LeastAskAgain = std::chrono::milliseconds(100);
+/// Shortest wait of a request for this node's next turn.
+static constexpr Duration MinTurnWait = std::chrono::milliseconds(20);
+/// Backoff of a node's asks for turns at one upstream after a refusal: this
+/// fraction of the time between the turns of two nodes, with a lower bound.
+static constexpr double AskBackoffFraction = 0.25;
+static constexpr Duration MinAskBackoff = std::chrono::milliseconds(100);
 
-/// \return When a node that was refused a turn asks again.
-static Duration askAgainIn(Duration Interval, double Nodes) {
-  return std::max(LeastAskAgain,
-                  fromMs(toMs(Interval) / std::max(1.0, Nodes) * AskAgainPart));
+/// \return Time until a node that was refused a turn asks again.
+static Duration askBackoff(Duration Interval, double Nodes) {
+  return std::max(MinAskBackoff, fromMs(toMs(Interval) / std::max(1.0, Nodes) *
+                                        AskBackoffFraction));
 }
 
-/// \return A node whose turn it is to send to \p U, this one aside; empty: none
-/// is known.
+/// \return Another node whose turn it is to send to \p U; empty: none is known.
 std::string GatewayService::turnOwner(const Upstream &U) {
   const Membership &M = Members->state();
   TimePoint Origin = fleetOrigin(Peers->clock());
@@ -51,9 +50,9 @@
   return Owners.empty() ? "" : Owners[randomIndex(Rng, Owners.size())];
 }
 
-/// Asks for the turn of another node, where the best upstream for a request is
-/// one that names a limit and it is not this node's turn.
-/// \return Whether the request waits for the answer.
+/// Asks another node for its turn, if the best upstream for a request has a
+/// rate limit and it is not this node's turn. \return Whether the request waits
+/// for the answer.
 bool GatewayService::askForTurn(ForwardRequest &R, Pool &P,
                                 const ChoiceHints &Hints) {
   if (R.TurnAsked || RateLimited->size() == 0)
@@ -72,14 +71,14 @@
     return false;
   R.TurnAsked = true;
   Peers->sendTo(Owner, TurnAsk{R.Serial.Value, U.Start});
-  R.RetryTimer = Timers->after(TurnPatience, [this, Serial = R.Serial] {
+  R.RetryTimer = Timers->after(TurnAskTimeout, [this, Serial = R.Serial] {
     if (find(Serial))
       sendAttempt(Serial);
   });
   return true;
 }
 
-/// Another node asks for this one's turn.
+/// Lends this node's turn to the node that asks for it, if possible.
 void GatewayService::lendTurn(const std::string &From, const TurnAsk &Ask) {
   TurnAnswer Answer{Ask.Serial, Ask.Upstream, /*Lent=*/false};
   for (auto &[Name, P] : Pools) {
@@ -96,7 +95,7 @@
   Peers->sendTo(From, Answer);
 }
 
-/// The node that was asked has answered.
+/// Handles the answer to a TurnAsk.
 void GatewayService::turnAnswered(const TurnAnswer &Answer) {
   ForwardRequest *R = find(RequestSerial{Answer.Serial});
   bool Waits = R && R->TurnAsked && !R->Attempt && R->RetryTimer != TimerId{};
@@ -106,9 +105,10 @@
     if (U.Start != Answer.Upstream)
       continue;
     if (!Answer.Lent)
-      U.NextAsk = Timers->now() + askAgainIn(U.Pace.Turns.Interval, MostNodes);
+      U.NextAsk =
+          Timers->now() + askBackoff(U.Pace.Turns.Interval, MaxNodesSeen);
     else
-      R->Lent = U.Id;
+      R->LentTurn = U.Id;
   }
   logRoutine("turn_answered", {{"id", R->Ask.RequestId},
                                {"instance", Answer.Upstream.Instance},
@@ -118,11 +118,11 @@
   sendAttempt(R->Serial);
 }
 
-/// \return The upstream that a request has got another node's turn for, if it
-/// can still be sent there.
+/// \return Index of the upstream of a turn that was lent to a request, if the
+/// request can still be sent there.
 std::optional<std::size_t> GatewayService::lentUpstream(ForwardRequest &R,
                                                         const Pool &P) {
-  auto Lent = std::exchange(R.Lent, std::nullopt);
+  auto Lent = std::exchange(R.LentTurn, std::nullopt);
   if (!Lent)
     return std::nullopt;
   RouterPolicy AnyTurn = Policy;
@@ -135,8 +135,8 @@
   return std::nullopt;
 }
 
-/// Has a request wait for this node's next turn, where its stages are done and
-/// it could still be on time: refused, their work would be thrown away.
+/// Lets a request wait for this node's next turn, if its stages are done and it
+/// could still be on time: refusing it would waste the work of the stages.
 /// \return Whether it waits.
 bool GatewayService::waitForTurn(ForwardRequest &R, const Pool &P) {
   if (R.Stages.empty())
@@ -153,7 +153,7 @@
   if (Next == TimePoint::max() || Next + timesOf(R).FirstEvent > R.OnTimeBy)
     return false;
   R.TurnAsked = false;
-  Duration Wait = std::max(LeastTurnWait, Next - Now);
+  Duration Wait = std::max(MinTurnWait, Next - Now);
   R.RetryTimer = Timers->after(Wait, [this, Serial = R.Serial] {
     if (find(Serial))
       sendAttempt(Serial);
