--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -1,5 +1,5 @@
-/// \file gateway_world.h Forwarding nodes before stand-ins of the platform, all
-/// on one loop.
+/// \file gateway_world.h Forwarding nodes and stand-ins of the platform, all on
+/// one event loop.
 #ifndef FULMARSTEP_TESTS_GATEWAY_WORLD_H
 #define FULMARSTEP_TESTS_GATEWAY_WORLD_H
 
@@ -16,14 +16,14 @@
 
 namespace fulmar {
 
-/// What a client got.
+/// The answer that a client has received.
 struct ClientResult {
-  bool Ended = false; ///< There is an end.
-  HttpAnswer Answer;  ///< The end.
-  std::string Stream; ///< Body so far.
+  bool Ended = false; ///< The answer has ended.
+  HttpAnswer Answer;  ///< The ended answer.
+  std::string Stream; ///< Body received so far.
 };
 
-/// The platform with a few upstreams, and nodes before them.
+/// A platform with a few upstreams, and nodes that forward requests to them.
 struct GatewayWorld {
   TimerService Timers;
   EventLoop Loop{Timers};
@@ -35,21 +35,22 @@
   HttpClient Client{Loop};
   int LastId = 0;
   int Version = 0;
-  std::map<std::string, std::string> DomainOf; ///< Of upstreams, by name.
+  std::map<std::string, std::string>
+      DomainOf;                   ///< Failure domains, by upstream.
   std::string Keys = "\"key-a\""; ///< API keys of the organisation.
-  int TimeoutMs = 2000;           ///< Of each route.
-  int TargetMs = 500;             ///< Of each route.
+  int TimeoutMs = 2000;           ///< Timeout of each route.
+  int TargetMs = 500;             ///< Latency target of each route.
   double RevokeMs = 5000;         ///< Set before nodes are added.
-  std::string Attempts = "2";     ///< Of each route.
-  std::string Body = "body";      ///< Of requests that are sent next.
+  std::string Attempts = "2";     ///< Attempts of each route.
+  std::string Body = "body";      ///< Body of the next requests.
   int QuarantineCrashes = 3;      ///< Set before nodes are added.
-  double ColdPerS = 0;            ///< That a cold upstream bears; 0: any.
-  int ColdMs = 0;                 ///< Of upstreams that are listed next.
-  int CallMs = 20;                ///< Of a call for pieces, as configured.
-  double RoomMb = 8;              ///< For results at an upstream.
-  WallMs BornMs = 1;              ///< Start of upstreams that are listed next.
-  std::string ListDomain = "z1";  ///< Of upstreams that are added next.
-  std::string StoreAddress;       ///< Of nodes added next; empty: the store's.
+  double ColdPerS = 0;            ///< Limit of a cold upstream; 0: none.
+  int ColdMs = 0;                 ///< Cold time of upstreams listed next.
+  int CallMs = 20;                ///< Configured time of a batch call.
+  double RoomMb = 8;              ///< Result space of an upstream, MB.
+  WallMs BornMs = 1;              ///< Start of upstreams listed next.
+  std::string ListDomain = "z1";  ///< Failure domain of upstreams added next.
+  std::string StoreAddress;       ///< For nodes added next; empty: Store.
 
   /// Adds an upstream and lists it.
   platform::StandinRunner &addRunner(const std::string &Pool,
@@ -123,7 +124,7 @@
     return Node;
   }
 
-  /// Settings of a node, with ports that nobody uses.
+  /// Makes settings of a node, with free ports.
   const GatewaySettings &makeSettings(const std::string &Id) {
     std::vector<int> Ports = freePorts("127.0.0.1", 5);
     auto Address = [&](std::size_t I) {
@@ -147,8 +148,8 @@
     return Settings.back();
   }
 
-  /// Makes a node with the latest settings, on a loop that may end before this
-  /// world's.
+  /// Makes a node with the latest settings, on an event loop that may end
+  /// before this world's.
   std::unique_ptr<GatewayNode> makeNode(EventLoop &On, TimerService &Time) {
     const GatewaySettings &S = Settings.back();
     return std::make_unique<GatewayNode>(
@@ -201,7 +202,7 @@
     return *Result;
   }
 
-  /// \return Times that the latest request ran, at all upstreams of engines
+  /// \return Number of runs of the latest request, at all upstreams of engines
   /// and plain pools.
   int runsOfLast() const {
     int Sum = 0;
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -1,4 +1,4 @@
-/// \file test_gateway.cpp Whole nodes before stand-ins of the platform.
+/// \file test_gateway.cpp Forwarding nodes with stand-ins of the platform.
 #include <catch2/catch.hpp>
 
 #include "batch_service.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// The events of a whole stream of \p Count events.
+/// \return The text of a complete stream of \p Count events.
 std::string wholeStream(int Count) {
   std::string Text;
   for (int I = 1; I <= Count; ++I)
@@ -45,7 +45,7 @@
       CHECK(headerValue(A.Seen[0], "X-Expected-Instance") == "i-a");
       CHECK(headerValue(A.Seen[0], "Host") == "h");
     }
-    THEN("neither the key nor what only the system sets goes on") {
+    THEN("the key and headers that only nodes set are not passed on") {
       CHECK(headerValue(A.Seen[0], "Authorization").empty());
       CHECK(headerValue(A.Seen[0], "X-Hold").empty());
     }
@@ -63,13 +63,13 @@
   }
 }
 
-SCENARIO("requests come before a node knows the others") {
-  // Symptom: after a restart of all nodes, stages take a second for a while,
-  // and upstreams refuse calls as full.
+SCENARIO("requests arrive before a node knows the others") {
+  // Symptom: for a while after a restart of all nodes, stages take a second and
+  // full upstreams refuse calls.
   // Sequence: clients that know a node's address send as soon as it listens; it
-  // asks for their pieces before it has heard of another node.
-  // Cause: alone in its own eyes it formed the pool's calls itself, of one
-  // piece each.
+  // requests their pieces before it knows another node.
+  // Cause: as the only node in its member list, it acted as coordinator of the
+  // pool and formed calls of one piece each.
   GatewayWorld W;
   W.addRunner("batch", {"i-b"});
   W.addRunner("engine", {"i-e", milliseconds(5), 5});
@@ -81,7 +81,8 @@
   });
   GatewayNode &Coordinator = W.startNode(Ids[0]);
   runUntil(W.Loop, [&] { return Coordinator.gateway().ready(); });
-  // The answer to its first write is lost, and it joins half a second later.
+  // The answer to the late node's first write is lost, and the node joins half
+  // a second later.
   W.Store.Mode = StoreMode::Losing;
   GatewayNode &Late = W.startNode(Ids[1]);
   std::vector<std::shared_ptr<ClientResult>> Results;
@@ -110,19 +111,18 @@
   CHECK(Calls(Late) == 0);
 }
 
-SCENARIO("whose work goes first") {
-  // Symptom: in a burst of the most urgent kind of request the least urgent one
-  // is on time as often.
-  // Sequence: nearly all organisations have the same priority; it replaced that
-  // of the route.
-  // Cause: the route's priority was not even a tie-break.
+SCENARIO("order of work by priority") {
+  // Symptom: during a burst of the most urgent kind of request, the least
+  // urgent kind is on time as often. Sequence: nearly all organisations have
+  // the same priority, which replaced the route's. Cause: the route's priority
+  // was not used as a tie-break.
   CHECK(urgencyOf(0, 2) < urgencyOf(1, 0));
   CHECK(urgencyOf(1, 0) < urgencyOf(1, 1));
   CHECK(urgencyOf(1, 1) < urgencyOf(1, 2));
   CHECK(urgencyOf(1, 50) < urgencyOf(2, 0));
 }
 
-SCENARIO("what may be repeated, and what may be said") {
+SCENARIO("retries and answers after failed attempts") {
   GatewayWorld W;
   auto &A = W.addRunner("plain", {"i-a"});
   auto &B = W.addRunner("plain", {"i-b"});
@@ -130,11 +130,11 @@
   W.addNode();
   GIVEN("upstreams that lose answers") {
     A.Mode = B.Mode = RunnerMode::LosesAnswer;
-    THEN("an idempotent request is tried as often as its route allows") {
+    THEN("an idempotent request is attempted as often as its route allows") {
       CHECK(W.ask("/get/x").Answer.Status == 502);
       CHECK(W.runsOfLast() == 2);
     }
-    THEN("a non-idempotent one runs once, and nobody says that it did not") {
+    THEN("a non-idempotent one runs once and is not reported as not run") {
       CHECK(W.ask("/post/x").Answer.Status == 502);
       CHECK(W.runsOfLast() == 1);
     }
@@ -142,7 +142,7 @@
   GIVEN("upstreams that are full") {
     A.Mode = B.Mode = RunnerMode::Full;
     ClientResult Got = W.ask("/post/x");
-    THEN("the client is told so at once, and when to come back") {
+    THEN("the client is refused at once, with a Retry-After") {
       CHECK(Got.Answer.Status == 503);
       CHECK_FALSE(Got.Answer.header("Retry-After").empty());
       CHECK(W.runsOfLast() == 0);
@@ -166,12 +166,12 @@
     W.configure();
     runUntil(
         W.Loop, [] { return false; }, milliseconds(100));
-    THEN("its route's timeout ends it, without a promise") {
+    THEN("its route's timeout ends it with an unknown outcome") {
       TimePoint Start = EventLoop::clock();
       CHECK(W.ask("/post/x").Answer.Status == 504);
       CHECK(EventLoop::clock() - Start < milliseconds(600));
     }
-    THEN("a client that leaves stops it") {
+    THEN("it is cancelled when its client disconnects") {
       auto Got = W.send("/post/x");
       runUntil(W.Loop, [&] { return W.runsOfLast() == 1; });
       W.Client.cancel(W.LastCall);
@@ -180,7 +180,7 @@
   }
 }
 
-SCENARIO("streams that break") {
+SCENARIO("interrupted streams") {
   GatewayWorld W;
   W.Attempts = "3";
   auto &A = W.addRunner("engine", {"i-a", milliseconds(5), 6});
@@ -188,18 +188,20 @@
   W.configure();
   W.addNode();
   GIVEN("an engine that stops in the middle of an event") {
-    // Symptom: a client gets half an event, or the same one twice.
-    // Sequence: an engine breaks off in its third event; another goes on.
-    // Cause: bytes passed on as they come, and no place kept in the stream.
+    // Symptom: a client gets a truncated event, or the same event twice.
+    // Sequence: an engine stops in its third event; another one resumes the
+    // stream.
+    // Cause: bytes were passed on as they arrived, and the position in the
+    // stream was not tracked.
     A.Mode = RunnerMode::CutsStream;
-    THEN("a stream that may be resumed goes on elsewhere, whole") {
+    THEN("a resumable stream is completed by another engine") {
       for (int I = 0; I < 4; ++I) {
         ClientResult Got = W.ask("/stream/x");
         CHECK(Got.Stream == wholeStream(6));
         CHECK(Got.Answer.Status == HttpOk);
       }
     }
-    THEN("another one ends without looking whole") {
+    THEN("a stream that is not resumable ends without an end mark") {
       B.Mode = RunnerMode::CutsStream;
       ClientResult Got = W.ask("/once/x");
       CHECK(Got.Stream == wholeStream(2));
@@ -219,7 +221,7 @@
   HttpHeaders Pieces = {{"X-Pieces", "2,1,3"}, {"X-Piece-Key", "k"}};
   GIVEN("a request with pieces") {
     ClientResult Got = W.ask("/staged/x", Pieces);
-    THEN("its run gets the results that no stage needs, and they are freed") {
+    THEN("its run gets the results of the final stages, and they are freed") {
       CHECK(Got.Stream == wholeStream(3));
       REQUIRE(E.Seen.size() == 1);
       std::string Inputs = headerValue(E.Seen[0], "X-Inputs");
@@ -237,12 +239,11 @@
       CHECK(W.runsOfLast() == 1);
     }
   }
-  GIVEN(
-      "results that fill most of their space, and an engine that reads long") {
-    // Symptom: calls carry two thirds of what they could while pieces wait.
-    // Sequence: the engine has the results within a few ms, and answers with
-    // its first event a quarter of a second later. Cause: their space was given
-    // back with the first event.
+  GIVEN("results that fill most of their space, and a slow first event") {
+    // Symptom: calls carry two thirds of the possible pieces while pieces wait.
+    // Sequence: the engine has read the results within a few ms, and sends its
+    // first event a quarter of a second later.
+    // Cause: the space of the results was freed with the first event.
     W.RoomMb = 1;
     W.configure();
     W.addRunner("engine", {"i-long", milliseconds(300), 3});
@@ -261,11 +262,11 @@
     CHECK(runUntil(W.Loop, [&] { return Got->Ended; }));
     CHECK(Got->Stream == wholeStream(3));
   }
-  GIVEN("upstreams that are full for a moment") {
-    // Symptom: requests fail within a few ms although their upstreams live.
-    // Sequence: two nodes form calls at once; an upstream refuses a call; it
-    // is sent again at once, three times.
-    // Cause: a refusal was taken for a failure.
+  GIVEN("upstreams that are full for a short time") {
+    // Symptom: requests fail within a few ms although their upstreams are
+    // alive. Sequence: two nodes form calls at the same time; an upstream
+    // refuses a call, which is repeated at once, three times. Cause: a refusal
+    // was counted as a failure.
     S.Mode = W.Runners["i-t"]->Mode = RunnerMode::Full;
     auto Got = W.send("/staged/x", Pieces);
     runUntil(
@@ -286,13 +287,13 @@
   }
 }
 
-SCENARIO("a stage is held back, and its request ends the wait early") {
-  // Symptom: a request runs at two engines at the same instant.
-  // Sequence: a large stage is held back by a timer, since the chain beside it
-  // should take long; the chain is quicker, so that its end begins the stage;
-  // the timer comes when all stages are done and the request runs.
-  // Cause: the timer looked for a stage to begin, found all done, and sent the
-  // request again.
+SCENARIO("a delayed stage begins before its timer fires") {
+  // Symptom: a request runs at two engines at the same time.
+  // Sequence: a large stage is delayed by a timer, as the chain parallel to it
+  // is expected to take long; the chain ends early and its end begins the
+  // stage; the timer fires when all stages are done and the request runs.
+  // Cause: the timer's handler found all stages done and sent the request
+  // again.
   GatewayWorld W;
   W.CallMs = 300;
   W.addRunner("engine", {"i-e", milliseconds(5), 6, milliseconds(60)});
@@ -306,7 +307,7 @@
   CHECK(W.runsOfLast() == 1);
 }
 
-SCENARIO("several nodes share the work") {
+SCENARIO("several nodes use the same pools") {
   GatewayWorld W;
   W.addRunner("engine", {"i-e", milliseconds(5), 3});
   auto &S = W.addRunner("batch", {"i-s"});
@@ -315,7 +316,7 @@
   W.addNode();
   W.addNode();
   HttpHeaders Pieces = {{"X-Pieces", "0,0,0"}, {"X-Piece-Key", "k"}};
-  GIVEN("pieces that come to all of them at once") {
+  GIVEN("pieces that arrive at all of them at the same time") {
     std::vector<std::shared_ptr<ClientResult>> All;
     runUntil(
         W.Loop, [] { return false; }, milliseconds(500));
@@ -326,7 +327,7 @@
       return std::all_of(All.begin(), All.end(),
                          [](const auto &R) { return R->Ended; });
     });
-    THEN("one node forms calls for them all") {
+    THEN("one node forms the calls of all pieces") {
       for (const auto &R : All)
         CHECK(R->Answer.Status == HttpOk);
       CHECK(S.Pieces == 12);
@@ -337,7 +338,7 @@
     runUntil(
         W.Loop, [] { return false; }, milliseconds(500));
     W.Nodes[2]->halt();
-    THEN("requests at the others are served on") {
+    THEN("the other nodes continue to serve requests") {
       for (std::size_t I = 0; I < 6; ++I) {
         auto R = W.send("/staged/x",
                         {{"X-Pieces", "0,1,0"}, {"X-Piece-Key", "k"}}, I % 2);
@@ -348,20 +349,20 @@
   }
 }
 
-SCENARIO("the key-value store is away") {
+SCENARIO("the key-value store is unavailable") {
   GatewayWorld W;
   W.RevokeMs = 1000;
   W.addRunner("plain", {"i-a"});
   W.configure();
   W.addNode();
   GIVEN("a store that refuses") {
-    // Symptom: a key that was taken away still works at a node that could not
-    // hear of it.
-    // Sequence: the node loses the store; the key is taken away; a client
-    // shows it for longer than the bound.
-    // Cause: a configuration believed for ever.
+    // Symptom: a revoked key still works at a node that could not learn of the
+    // revocation.
+    // Sequence: the node loses the store; the key is revoked; a client uses it
+    // for longer than the limit.
+    // Cause: the configuration never became stale.
     W.Store.Mode = StoreMode::Refusing;
-    THEN("keys work for a while, then not; public routes go on") {
+    THEN("keys work until the limit, and public routes without one") {
       CHECK(W.ask("/get/x").Answer.Status == HttpOk);
       runUntil(
           W.Loop, [] { return false; }, milliseconds(1000));
@@ -378,13 +379,13 @@
       CHECK(W.ask("/get/x").Answer.Status == HttpOk);
     }
   }
-  GIVEN("a store that is silent") {
+  GIVEN("a store that does not answer") {
     W.Store.Mode = StoreMode::Silent;
     runUntil(
         W.Loop, [] { return false; }, milliseconds(1200));
     CHECK(W.ask("/get/x").Answer.Status == 503);
   }
-  GIVEN("a store that forgets its history while a key is taken away") {
+  GIVEN("a store that loses its history while a key is revoked") {
     W.Keys = "\"key-b\"";
     W.Store.dropHistory();
     W.configure();
@@ -393,18 +394,18 @@
         W.Loop, [] { return false; }, milliseconds(700));
     CHECK(W.ask("/get/x").Answer.Status == 401);
   }
-  GIVEN("a node that starts meanwhile") {
+  GIVEN("a node that starts during the outage") {
     W.Store.Mode = StoreMode::Refusing;
     W.addNode();
     auto Got = W.send("/get/x", {}, 1);
     runUntil(W.Loop, [&] { return Got->Ended; });
-    THEN("it knows nothing, and says so: neither 401 nor 404") {
+    THEN("it is not ready, and answers neither 401 nor 404") {
       CHECK(Got->Answer.Status == 503);
     }
   }
 }
 
-SCENARIO("an upstream leaves") {
+SCENARIO("an upstream drains") {
   GatewayWorld W;
   auto &A = W.addRunner("plain", {"i-a"});
   W.addRunner("plain", {"i-b"});
@@ -419,7 +420,7 @@
   CHECK(A.Seen.size() == Before);
 }
 
-SCENARIO("a node stops") {
+SCENARIO("a node drains") {
   GatewayWorld W;
   W.addRunner("engine", {"i-e", milliseconds(5), 20, milliseconds(50)});
   W.configure();
@@ -427,7 +428,7 @@
   auto Running = W.send("/stream/x");
   runUntil(W.Loop, [&] { return !Running->Stream.empty(); });
   Node.drain();
-  THEN("it is not ready, ends what runs, and takes in what still comes") {
+  THEN("it is not ready, but completes running and new requests") {
     CHECK_FALSE(Node.gateway().ready());
     CHECK(W.ask("/stream/x").Answer.Status == HttpOk);
     CHECK(runUntil(W.Loop, [&] { return Running->Ended; }));
@@ -435,12 +436,12 @@
   }
 }
 
-SCENARIO("a node stops while requests wait for their stages") {
-  // Symptom: around a planned stop a client's connection closes without an
-  // answer, although nothing of its request has run.
-  // Sequence: a request comes two seconds after SIGTERM; its stage is slow, and
-  // the process ends first.
-  // Cause: only requests in progress were waited for, none was refused.
+SCENARIO("a node drains while requests wait for their stages") {
+  // Symptom: during a planned stop a client's connection closes without an
+  // answer, although no part of its request has run.
+  // Sequence: a request arrives two seconds after SIGTERM; its stage is slow,
+  // and the process exits first.
+  // Cause: the node only waited for requests in progress and refused none.
   GatewayWorld W;
   W.addRunner("engine", {"i-e", milliseconds(5), 3});
   W.addRunner("batch", {"i-s"}).Mode = RunnerMode::Full;
