--- a/src/demand.cpp
+++ b/src/demand.cpp
@@ -1,4 +1,5 @@
-/// \file demand.cpp Sharing demand by one home node for each organisation.
+/// \file demand.cpp Divides each organisation's rate limit between nodes by
+/// demand. One node per organisation aggregates the demand.
 #include "demand_func.h"
 
 #include <algorithm>
@@ -8,20 +9,20 @@
 
 namespace fulmar {
 
-/// Reports and totals count for this long.
-static constexpr Duration Life = std::chrono::seconds(12);
-/// An unchanged rate is reported this often.
-static constexpr Duration RepeatAfter = std::chrono::seconds(5);
-/// A change by this share is reported at once.
-static constexpr double NoteworthyChange = 0.2;
-/// Rates below this are not worth a message.
-static constexpr double LeastRate = 0.05;
-/// A node always has this part of an even share, so that a caller who moves to
-/// it is not refused before the totals have followed.
-static constexpr double LeastOfEven = 0.25;
+/// Reports and totals expire after this time.
+static constexpr Duration ReportLifetime = std::chrono::seconds(12);
+/// Interval between reports of an unchanged rate.
+static constexpr Duration ReportInterval = std::chrono::seconds(5);
+/// A relative change of the rate above this value is reported at once.
+static constexpr double SignificantChange = 0.2;
+/// Rates below this value, in requests/s, are not worth a message.
+static constexpr double MinReportedRate = 0.05;
+/// Minimum share of a node, as a fraction of an even share. It keeps a caller
+/// that moves to this node from being refused before the totals are updated.
+static constexpr double MinShareOfEven = 0.25;
 
-std::string demandHome(std::string_view Organisation,
-                       std::span<const std::string> Nodes) {
+std::string demandAggregator(std::string_view Organisation,
+                             std::span<const std::string> Nodes) {
   std::string Best;
   std::uint64_t BestWeight = 0;
   std::uint64_t Key = hash64(Organisation);
@@ -37,11 +38,11 @@
 
 double demandReported(Demand &D, const std::string &Organisation,
                       const std::string &Node, double Rate, TimePoint Now) {
-  auto &Nodes = D.Homed[Organisation];
+  auto &Nodes = D.Reports[Organisation];
   Nodes[Node] = {Rate, Now};
   double Total = 0;
   for (const auto &[Name, Reported] : Nodes) {
-    if (Now - Reported.At < Life)
+    if (Now - Reported.At < ReportLifetime)
       Total += Reported.Rate;
   }
   return Total;
@@ -54,21 +55,21 @@
 
 bool demandDue(Demand &D, const std::string &Organisation, double Rate,
                TimePoint Now) {
-  auto Found = D.Reported.find(Organisation);
-  bool Fresh = Found == D.Reported.end();
-  if (Fresh && Rate < LeastRate)
+  auto Found = D.LastSent.find(Organisation);
+  bool Fresh = Found == D.LastSent.end();
+  if (Fresh && Rate < MinReportedRate)
     return false;
   if (!Fresh) {
     double Change = std::abs(Rate - Found->second.Rate);
-    bool Noteworthy =
-        Change > NoteworthyChange * std::max(Found->second.Rate, LeastRate);
-    if (!Noteworthy && Now - Found->second.At < RepeatAfter)
+    bool Significant = Change > SignificantChange * std::max(Found->second.Rate,
+                                                             MinReportedRate);
+    if (!Significant && Now - Found->second.At < ReportInterval)
       return false;
   }
-  if (Rate < LeastRate)
-    D.Reported.erase(Organisation);
+  if (Rate < MinReportedRate)
+    D.LastSent.erase(Organisation);
   else
-    D.Reported[Organisation] = {Rate, Now};
+    D.LastSent[Organisation] = {Rate, Now};
   return true;
 }
 
@@ -76,23 +77,23 @@
                    double OwnRate, std::size_t Nodes, TimePoint Now) {
   double Even = 1.0 / static_cast<double>(std::max<std::size_t>(1, Nodes));
   auto Found = D.Totals.find(Organisation);
-  if (Found == D.Totals.end() || Now - Found->second.At >= Life ||
+  if (Found == D.Totals.end() || Now - Found->second.At >= ReportLifetime ||
       Found->second.Rate <= 0)
     return Even;
   double Share = OwnRate / std::max(Found->second.Rate, OwnRate);
-  return std::clamp(Share, Even * LeastOfEven, 1.0);
+  return std::clamp(Share, Even * MinShareOfEven, 1.0);
 }
 
-void demandAge(Demand &D, TimePoint Now) {
-  for (auto &[Organisation, Nodes] : D.Homed) {
+void demandExpire(Demand &D, TimePoint Now) {
+  for (auto &[Organisation, Nodes] : D.Reports) {
     std::erase_if(Nodes, [Now](const auto &Entry) {
-      return Now - Entry.second.At >= Life;
+      return Now - Entry.second.At >= ReportLifetime;
     });
   }
-  std::erase_if(D.Homed,
+  std::erase_if(D.Reports,
                 [](const auto &Entry) { return Entry.second.empty(); });
   std::erase_if(D.Totals, [Now](const auto &Entry) {
-    return Now - Entry.second.At >= Life;
+    return Now - Entry.second.At >= ReportLifetime;
   });
 }
 
--- a/src/demand_base.h
+++ b/src/demand_base.h
@@ -1,4 +1,4 @@
-/// \file demand_base.h How a limit of the fleet is divided between nodes.
+/// \file demand_base.h State for dividing fleet-wide rate limits between nodes.
 #ifndef FULMARSTEP_DEMAND_BASE_H
 #define FULMARSTEP_DEMAND_BASE_H
 
@@ -9,20 +9,21 @@
 
 namespace fulmar {
 
-/// The rate that one node reported.
+/// A request rate and when it was reported.
 struct NodeRate {
   double Rate = 0; ///< Requests/s.
-  TimePoint At{};  ///< When.
+  TimePoint At{};  ///< Time of the report.
 };
 
-/// Sums up demand for the organisations whose home this node is, and keeps
-/// the totals that other homes told it.
+/// The demand reports of the organisations that this node aggregates, and the
+/// fleet-wide totals received from the aggregators of the others.
 struct Demand {
-  std::map<std::string, std::map<std::string, NodeRate>>
-      Homed;                                ///< By
-                                            ///< organisation, then node.
-  std::map<std::string, NodeRate> Totals;   ///< By organisation.
-  std::map<std::string, NodeRate> Reported; ///< What was last sent.
+  /// Received rates, by organisation and node.
+  std::map<std::string, std::map<std::string, NodeRate>> Reports;
+  /// Fleet-wide rates, by organisation.
+  std::map<std::string, NodeRate> Totals;
+  /// Own rates as last sent, by organisation.
+  std::map<std::string, NodeRate> LastSent;
 };
 
 } // namespace fulmar
--- a/src/demand_func.h
+++ b/src/demand_func.h
@@ -1,4 +1,5 @@
-/// \file demand_func.h Sharing demand by one home node for each organisation.
+/// \file demand_func.h Divides each organisation's rate limit between nodes by
+/// demand. One node per organisation aggregates the demand.
 #ifndef FULMARSTEP_DEMAND_FUNC_H
 #define FULMARSTEP_DEMAND_FUNC_H
 
@@ -9,30 +10,34 @@
 
 namespace fulmar {
 
-/// \return The node that sums up the demand of \p Organisation.
-std::string demandHome(std::string_view Organisation,
-                       std::span<const std::string> Nodes);
+/// \return The node that aggregates the demand of \p Organisation, by
+/// rendezvous hashing over \p Nodes.
+std::string demandAggregator(std::string_view Organisation,
+                             std::span<const std::string> Nodes);
 
-/// A node reports its rate to this home.
-/// \return The total, to be sent back.
+/// Handles a node's demand report; this node is the aggregator.
+/// \return The organisation's total rate, to be sent back to the node.
 double demandReported(Demand &D, const std::string &Organisation,
                       const std::string &Node, double Rate, TimePoint Now);
 
-/// A home told the total.
+/// Handles a total received from the aggregator of \p Organisation.
 void demandTotal(Demand &D, const std::string &Organisation, double Total,
                  TimePoint Now);
 
-/// \return Whether the rate has changed enough, or long enough ago, to report.
+/// Decides whether \p Rate is to be reported now: it has changed significantly,
+/// or the report interval has passed. If so, marks it as sent.
+/// \return Whether to report it.
 bool demandDue(Demand &D, const std::string &Organisation, double Rate,
                TimePoint Now);
 
-/// \return This node's part of a limit, from 0 to 1.
-/// \param Nodes number of live nodes, for when no total is known.
+/// \return This node's share of a rate limit, from 0 to 1.
+/// \param Nodes number of live nodes, for an even share while no total is
+/// known.
 double demandShare(const Demand &D, const std::string &Organisation,
                    double OwnRate, std::size_t Nodes, TimePoint Now);
 
-/// Forgets what has grown old.
-void demandAge(Demand &D, TimePoint Now);
+/// Removes expired reports and totals.
+void demandExpire(Demand &D, TimePoint Now);
 
 } // namespace fulmar
 
--- a/src/demand_service.cpp
+++ b/src/demand_service.cpp
@@ -1,4 +1,4 @@
-/// \file demand_service.cpp Divides the fleet's limits by demand.
+/// \file demand_service.cpp Divides fleet-wide rate limits by demand.
 #include "demand_service.h"
 
 #include "admission_func.h"
@@ -32,19 +32,19 @@
 }
 
 void DemandService::report(const std::string &Organisation, double Rate) {
-  std::string Home = demandHome(Organisation, Members->ids());
-  if (Home == Self || Home.empty()) {
+  std::string Aggregator = demandAggregator(Organisation, Members->ids());
+  if (Aggregator == Self || Aggregator.empty()) {
     double Total =
         demandReported(State, Organisation, Self, Rate, Timers->now());
     demandTotal(State, Organisation, Total, Timers->now());
     return;
   }
-  Peers->sendTo(Home, DemandReport{Organisation, Rate});
+  Peers->sendTo(Aggregator, DemandReport{Organisation, Rate});
 }
 
 void DemandService::tick() {
   TimePoint Now = Timers->now();
-  demandAge(State, Now);
+  demandExpire(State, Now);
   RouterState &Routing = Router->mutableState();
   if (!Routing.InForce)
     return;
@@ -52,10 +52,10 @@
   Routing.EvenShare =
       1.0 / static_cast<double>(std::max<std::size_t>(1, Nodes));
   for (const OrganisationSpec &Spec : Routing.InForce->Organisations) {
-    auto Payer = Routing.Payers.find(Spec.Name);
-    if (Spec.RateLimit <= 0 || Payer == Routing.Payers.end())
+    auto Found = Routing.Payers.find(Spec.Name);
+    if (Spec.RateLimit <= 0 || Found == Routing.Payers.end())
       continue;
-    RateBucket &Bucket = Routing.Rates[Payer->second];
+    RateBucket &Bucket = Routing.Rates[Found->second];
     double Rate = arrivalRate(Bucket, Now);
     if (demandDue(State, Spec.Name, Rate, Now))
       report(Spec.Name, Rate);
--- a/src/demand_service.h
+++ b/src/demand_service.h
@@ -1,4 +1,4 @@
-/// \file demand_service.h Divides the fleet's limits by demand.
+/// \file demand_service.h Divides fleet-wide rate limits by demand.
 #ifndef FULMARSTEP_DEMAND_SERVICE_H
 #define FULMARSTEP_DEMAND_SERVICE_H
 
@@ -12,7 +12,8 @@
 class PeerService;
 class MemberService;
 
-/// Reports this node's demand and sets its shares.
+/// Exchanges demand reports with other nodes and sets this node's shares of the
+/// rate limits.
 class DemandService : public Service {
 public:
   DemandService(Kernel &K, std::string Self);
@@ -23,13 +24,13 @@
   void tick();
   void report(const std::string &Organisation, double Rate);
 
-  Kernel &Services;                 ///< Finds the others.
+  Kernel &Services;                 ///< Finds the other services.
   std::string Self;                 ///< This node's id.
-  TimerService *Timers = nullptr;   ///< Time.
-  RouterService *Router = nullptr;  ///< Measures rates, keeps limits.
-  PeerService *Peers = nullptr;     ///< Carries reports.
-  MemberService *Members = nullptr; ///< Knows homes.
-  Demand State;                     ///< Decides.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  RouterService *Router = nullptr;  ///< Measures rates and enforces limits.
+  PeerService *Peers = nullptr;     ///< Sends and receives reports and totals.
+  MemberService *Members = nullptr; ///< Live nodes, for finding aggregators.
+  Demand State;                     ///< Reports and totals.
 };
 
 } // namespace fulmar
