--- a/src/admission.cpp
+++ b/src/admission.cpp
@@ -1,4 +1,4 @@
-/// \file admission.cpp Expected times and rates at admission.
+/// \file admission.cpp Completion time estimates and rate limits at admission.
 #include "admission_func.h"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 namespace fulmar {
 
-/// Time constant of the smoothed arrival rate.
-static constexpr double RateMemorySeconds = 5;
+/// Time constant of the exponentially smoothed arrival rate, in seconds.
+static constexpr double RateTimeConstantSeconds = 5;
 
 Estimate &stageEstimate(RouterState &State, const PipelineSpec &Pipeline,
                         const StageSpec &Stage) {
@@ -32,13 +32,14 @@
   return Sum;
 }
 
-/// Estimates how long a call of \p R waits for room at \p P.
+/// Estimates how long a call of \p R queues for an upstream slot in \p P.
 static Duration expectedWait(const RouterState &State, const Pool &P,
                              const Request &R, TimePoint Now) {
   if (queueSize(P.Queue) == 0)
     return Duration::zero();
-  double Ahead = queueAhead(P.Queue, R.Organisation->Group, R.Pipeline->Class,
-                            R.Payer, R.Organisation->Weight);
+  double Ahead =
+      queueCostAhead(P.Queue, R.Organisation->Group, R.Pipeline->Class,
+                     R.OwnerId, R.Organisation->Weight);
   double Slots = std::max(1.0, poolSlots(P, State.Policy, Now));
   return fromMs(Ahead / Slots);
 }
@@ -54,37 +55,38 @@
 }
 
 double arrivalRate(const RateBucket &Bucket, TimePoint Now) {
-  double Seconds = toMs(Now - Bucket.Measured) / 1e3;
-  return Bucket.Arrivals * std::exp(-Seconds / RateMemorySeconds);
+  double Seconds = toMs(Now - Bucket.LastArrival) / 1e3;
+  return Bucket.ArrivalRate * std::exp(-Seconds / RateTimeConstantSeconds);
 }
 
-/// Counts an arrival in the smoothed rate.
-static void measureArrival(RateBucket &Bucket, TimePoint Now) {
-  Bucket.Arrivals = arrivalRate(Bucket, Now) + 1 / RateMemorySeconds;
-  Bucket.Measured = Now;
+/// Adds one arrival to the smoothed rate.
+static void countArrival(RateBucket &Bucket, TimePoint Now) {
+  Bucket.ArrivalRate = arrivalRate(Bucket, Now) + 1 / RateTimeConstantSeconds;
+  Bucket.LastArrival = Now;
 }
 
-bool takeRate(RouterState &State, const OrganisationSpec &Spec,
-              OrganisationId Payer, TimePoint Now) {
+bool acquireRateToken(RouterState &State, const OrganisationSpec &Spec,
+                      OrganisationId OwnerId, TimePoint Now) {
   if (Spec.RateLimit <= 0)
     return true;
-  auto [It, Fresh] = State.Rates.try_emplace(Payer);
+  auto [It, Fresh] = State.Rates.try_emplace(OwnerId);
   RateBucket &Bucket = It->second;
-  // A node that has not heard of the others' demand must not take the whole
-  // limit for itself: nine of them would let nine times the limit through.
+  // Until the demand of the other nodes is known, a node uses an even share of
+  // the limit. If each node used the whole limit, nine nodes would admit nine
+  // times the limit.
   if (Fresh)
     Bucket.Share = State.EvenShare;
   double Burst = std::max(1.0, Spec.Burst * Bucket.Share);
   if (Fresh) {
     Bucket.Tokens = Burst;
-    Bucket.Filled = Now;
-    Bucket.Measured = Now;
+    Bucket.LastRefill = Now;
+    Bucket.LastArrival = Now;
   }
-  measureArrival(Bucket, Now);
-  double Seconds = toMs(Now - Bucket.Filled) / 1e3;
+  countArrival(Bucket, Now);
+  double Seconds = toMs(Now - Bucket.LastRefill) / 1e3;
   double Rate = Spec.RateLimit * Bucket.Share;
   Bucket.Tokens = std::min(Burst, Bucket.Tokens + Seconds * Rate);
-  Bucket.Filled = Now;
+  Bucket.LastRefill = Now;
   if (Bucket.Tokens < 1)
     return false;
   Bucket.Tokens -= 1;
--- a/src/admission_func.h
+++ b/src/admission_func.h
@@ -1,4 +1,4 @@
-/// \file admission_func.h Whether a request can still make its deadline.
+/// \file admission_func.h Deadline and rate limit checks for admission.
 #ifndef FULMARSTEP_ADMISSION_FUNC_H
 #define FULMARSTEP_ADMISSION_FUNC_H
 
@@ -6,23 +6,26 @@
 
 namespace fulmar {
 
-/// \return The estimate of one stage, made from the bundle on first use.
+/// \return The latency estimate of a stage. It is created on first use, with
+/// the cost in the bundle as its prior.
 Estimate &stageEstimate(RouterState &State, const PipelineSpec &Pipeline,
                         const StageSpec &Stage);
 
-/// Estimates what the stages of \p R from the current one on take, without
-/// waiting for room.
+/// Estimates the service time of the current and later stages of \p R, without
+/// queueing.
 Duration remainingService(RouterState &State, const Request &R, Quantile Q);
 
-/// Estimates the same with waiting, as queues stand now.
+/// Estimates the time until \p R completes: service time at quantile High plus
+/// the queueing expected at the current queue depths.
 Duration remainingTime(RouterState &State, const Request &R, TimePoint Now);
 
-/// Takes one request from an organisation's rate.
-/// \return False when the organisation is over its limit.
-bool takeRate(RouterState &State, const OrganisationSpec &Spec,
-              OrganisationId Payer, TimePoint Now);
+/// Takes one token from an organisation's rate limit bucket.
+/// \return False when the bucket is empty: the organisation is over its limit.
+bool acquireRateToken(RouterState &State, const OrganisationSpec &Spec,
+                      OrganisationId OwnerId, TimePoint Now);
 
-/// \return Requests/s of an organisation on this node, smoothed.
+/// \return The smoothed arrival rate of an organisation on this node, in
+/// requests/s.
 double arrivalRate(const RateBucket &Bucket, TimePoint Now);
 
 } // namespace fulmar
--- a/src/estimate.cpp
+++ b/src/estimate.cpp
@@ -1,15 +1,18 @@
-/// \file estimate.cpp Learning and forgetting what a stage takes.
+/// \file estimate.cpp Windowed latency estimates of stages.
 #include "estimate_func.h"
 
 namespace fulmar {
 
-/// A window ends after this many values, so that busy stages learn quickly...
+/// A window ends at this many values, so that estimates of busy stages adapt
+/// quickly.
 static constexpr std::size_t WindowValues = 64;
-/// ...or after this time, so that quiet ones forget too.
-static constexpr Duration WindowTime = std::chrono::seconds(5);
-/// Values needed before a window that ran out of time counts.
-static constexpr std::size_t FewestValues = 8;
-/// How fast the floor may rise in each window.
+/// A window also ends after this time, so that estimates of quiet stages age
+/// too.
+static constexpr Duration MaxWindowTime = std::chrono::seconds(5);
+/// Minimum number of values for a window that ends by time to be used.
+static constexpr std::size_t MinWindowValues = 8;
+/// Fraction of the distance to the current low quantile by which the floor
+/// rises in each window.
 static constexpr double FloorRise = 0.02;
 
 Estimate makeEstimate(Duration Prior) {
@@ -18,20 +21,20 @@
   return E;
 }
 
-/// Takes a full window's quantiles into force and begins the next window.
+/// Publishes the quantiles of the finished window and begins the next one.
 static void closeWindow(Estimate &E, TimePoint Now) {
-  for (std::size_t I = 0; I < E.InForce.size(); ++I)
-    E.InForce[I] = E.Current.quantile(static_cast<Quantile>(I));
+  for (std::size_t I = 0; I < E.Quantiles.size(); ++I)
+    E.Quantiles[I] = E.Current.quantile(static_cast<Quantile>(I));
   E.Mean = E.Current.mean();
-  double Low = E.InForce[static_cast<std::size_t>(Quantile::Low)];
-  // The floor follows improvement at once and decline slowly. If it followed
-  // both at once, a crowded pool would look normal after a few seconds, and the
-  // limits that are to relieve it would stop shrinking.
-  if (!E.Learnt || Low < E.LowestEver)
-    E.LowestEver = Low;
+  double Low = E.Quantiles[static_cast<std::size_t>(Quantile::Low)];
+  // The floor falls at once and rises slowly. If it rose at once, an overloaded
+  // pool would look normal after a few seconds, and the concurrency limits that
+  // are to relieve it would stop shrinking.
+  if (!E.HasData || Low < E.LowQuantileFloor)
+    E.LowQuantileFloor = Low;
   else
-    E.LowestEver += (Low - E.LowestEver) * FloorRise;
-  E.Learnt = true;
+    E.LowQuantileFloor += (Low - E.LowQuantileFloor) * FloorRise;
+  E.HasData = true;
   E.Current = QuantileStream();
   E.WindowStart = Now;
 }
@@ -41,40 +44,40 @@
     E.WindowStart = Now;
   E.Current.add(static_cast<double>(Took.count()));
   bool Full = E.Current.count() >= WindowValues;
-  bool Old =
-      E.Current.count() >= FewestValues && Now - E.WindowStart >= WindowTime;
-  bool First = !E.Learnt && E.Current.count() >= FewestValues;
+  bool Old = E.Current.count() >= MinWindowValues &&
+             Now - E.WindowStart >= MaxWindowTime;
+  bool First = !E.HasData && E.Current.count() >= MinWindowValues;
   if (Full || Old || First)
     closeWindow(E, Now);
 }
 
 void estimateAge(Estimate &E, TimePoint Now) {
-  if (!E.Learnt || Now - E.WindowStart < WindowTime)
+  if (!E.HasData || Now - E.WindowStart < MaxWindowTime)
     return;
-  // A stage that was slow for a while makes admission refuse everything. Then
-  // nothing is measured any more, and it would refuse for good although the
-  // stage has recovered. Halving the distance to the prior lets a few requests
-  // through again, which measure anew.
+  // While a stage is slow, admission may refuse every request. Then no new
+  // latencies are measured, and admission would refuse for good although the
+  // stage has recovered. Halving the distance to the prior admits a few
+  // requests again, which yield new measurements.
   double Prior = static_cast<double>(E.Prior.count());
-  for (double &Value : E.InForce)
+  for (double &Value : E.Quantiles)
     Value += (Prior - Value) / 2;
   E.Mean += (Prior - E.Mean) / 2;
   E.WindowStart = Now;
 }
 
 Duration estimateAt(const Estimate &E, Quantile Q) {
-  if (!E.Learnt)
+  if (!E.HasData)
     return E.Prior;
   return Duration(
-      static_cast<std::int64_t>(E.InForce[static_cast<std::size_t>(Q)]));
+      static_cast<std::int64_t>(E.Quantiles[static_cast<std::size_t>(Q)]));
 }
 
 Duration estimateMean(const Estimate &E) {
-  return E.Learnt ? Duration(static_cast<std::int64_t>(E.Mean)) : E.Prior;
+  return E.HasData ? Duration(static_cast<std::int64_t>(E.Mean)) : E.Prior;
 }
 
 Duration estimateFloor(const Estimate &E) {
-  return Duration(static_cast<std::int64_t>(E.LowestEver));
+  return Duration(static_cast<std::int64_t>(E.LowQuantileFloor));
 }
 
 } // namespace fulmar
--- a/src/estimate_base.h
+++ b/src/estimate_base.h
@@ -1,4 +1,4 @@
-/// \file estimate_base.h What a stage is expected to take.
+/// \file estimate_base.h Latency estimate of a stage.
 #ifndef FULMARSTEP_ESTIMATE_BASE_H
 #define FULMARSTEP_ESTIMATE_BASE_H
 
@@ -9,16 +9,19 @@
 
 namespace fulmar {
 
-/// Learns how long calls of one stage take, and forgets.
+/// Latency estimate of one stage over successive windows; decays to its prior
+/// without new values.
 struct Estimate {
-  Duration Prior{};        ///< Expected until enough was measured.
-  QuantileStream Current;  ///< Values of the window that is being filled.
-  TimePoint WindowStart{}; ///< When that window began.
-  /// Quantiles in force, in us; those of the latest full window.
-  std::array<double, static_cast<std::size_t>(Quantile::Count)> InForce{};
-  double Mean = 0;       ///< Mean in force, in us.
-  double LowestEver = 0; ///< Slowly rising floor of the low quantile, in us.
-  bool Learnt = false;   ///< Whether anything was measured yet.
+  Duration Prior{};        ///< Latency to expect until there are enough values.
+  QuantileStream Current;  ///< Values of the current window.
+  TimePoint WindowStart{}; ///< Start of the current window, or last decay.
+  /// Published quantiles in us, indexed by Quantile: those of the latest
+  /// finished window, less decay.
+  std::array<double, static_cast<std::size_t>(Quantile::Count)> Quantiles{};
+  double Mean = 0;             ///< Published mean, in us.
+  double LowQuantileFloor = 0; ///< Slowly rising floor of the low
+                               ///< quantile, in us.
+  bool HasData = false;        ///< Whether a window has finished.
 };
 
 } // namespace fulmar
--- a/src/estimate_func.h
+++ b/src/estimate_func.h
@@ -1,4 +1,4 @@
-/// \file estimate_func.h Learning and reading what a stage takes.
+/// \file estimate_func.h Updates and reads latency estimates of stages.
 #ifndef FULMARSTEP_ESTIMATE_FUNC_H
 #define FULMARSTEP_ESTIMATE_FUNC_H
 
@@ -9,20 +9,20 @@
 /// Makes an estimate that starts from \p Prior.
 Estimate makeEstimate(Duration Prior);
 
-/// Adds one measured duration.
+/// Adds one measured latency.
 void estimateAdd(Estimate &E, Duration Took, TimePoint Now);
 
-/// Lets an estimate without new values drift back to its prior.
+/// Halves the distance of an estimate without new values to its prior.
 void estimateAge(Estimate &E, TimePoint Now);
 
-/// \return The expected duration at quantile \p Q.
+/// \return The expected latency at quantile \p Q.
 Duration estimateAt(const Estimate &E, Quantile Q);
 
-/// \return The expected mean duration.
+/// \return The expected mean latency.
 Duration estimateMean(const Estimate &E);
 
-/// \return What a call takes on an upstream that is not crowded; zero while
-/// not known.
+/// \return The latency of a call to an upstream that is not overloaded; zero
+/// while unknown.
 Duration estimateFloor(const Estimate &E);
 
 } // namespace fulmar
--- a/src/fair_queue.cpp
+++ b/src/fair_queue.cpp
@@ -6,10 +6,11 @@
 
 namespace fulmar {
 
-/// Organisations without waiting calls are forgotten above this number.
+/// Organisations without queued calls are evicted above this number.
 static constexpr std::size_t MaxIdleOrganisations = 1024;
-/// Backlog for its share, against the worst one's, that counts as well below.
-static constexpr double WellBelow = 0.5;
+/// A full queue admits a call only while its organisation's backlog relative to
+/// its share is below this fraction of the highest one.
+static constexpr double AdmittedBacklogRatio = 0.5;
 
 template <typename Enum> static std::size_t at(Enum E) {
   return static_cast<std::size_t>(E);
@@ -26,21 +27,21 @@
                                            : 1 - Queue.Shares.Batch;
 }
 
-/// Brings a share clock to the present when its owner was idle. Without it, one
-/// that slept for an hour would then be served alone until it had used as much
-/// as the others did in that hour.
-static void wake(ShareClock &Share, double Present) {
-  Share.Used = std::max(Share.Used, Present);
+/// Advances the share clock of a flow that was idle to the virtual time.
+/// Without this, a flow that was idle for an hour would be served alone until
+/// it had used as much as the others did in that hour.
+static void catchUp(ShareClock &Share, double VirtualTime) {
+  Share.Used = std::max(Share.Used, VirtualTime);
 }
 
 static CallPlace placeOf(const FairQueue &Queue, const QueuedCall &Call,
-                         std::uint64_t Age) {
+                         std::uint64_t Sequence) {
   if (Queue.ByArrival)
     return {OrganisationGroup::Established,
             PipelineClass::Interactive,
             OrganisationId{0},
-            {TimePoint{}, Age}};
-  return {Call.Group, Call.Class, Call.Organisation, {Call.Deadline, Age}};
+            {TimePoint{}, Sequence}};
+  return {Call.Group, Call.Class, Call.Organisation, {Call.Deadline, Sequence}};
 }
 
 static ClassQueue &classAt(FairQueue &Queue, const CallPlace &Place) {
@@ -52,12 +53,12 @@
   GroupQueue &Group = Queue.Groups[at(Place.Group)];
   ClassQueue &Class = classAt(Queue, Place);
   if (Group.Backlog <= 0)
-    wake(Group.Share, Queue.Present);
+    catchUp(Group.Share, Queue.VirtualTime);
   if (Class.Active.empty())
-    wake(Class.Share, Group.Present);
+    catchUp(Class.Share, Group.VirtualTime);
   OrganisationQueue &Own = Class.Queues[Place.Organisation];
   if (Own.Calls.empty()) {
-    wake(Own.Share, Class.Present);
+    catchUp(Own.Share, Class.VirtualTime);
     Own.Weight = Queue.ByArrival ? 1 : Call.Weight;
     Class.ActiveWeight += Own.Weight;
     Class.Active.insert({Own.Share.Used, Place.Organisation});
@@ -71,8 +72,8 @@
   Queue.Places.emplace(Call.Request, Place);
 }
 
-/// Takes one call out of all the books.
-static QueuedCall takeCall(FairQueue &Queue, const CallPlace &Place) {
+/// Removes one call from its queue and from the totals of every level.
+static QueuedCall removeCall(FairQueue &Queue, const CallPlace &Place) {
   GroupQueue &Group = Queue.Groups[at(Place.Group)];
   ClassQueue &Class = classAt(Queue, Place);
   OrganisationQueue &Own = Class.Queues.at(Place.Organisation);
@@ -91,7 +92,8 @@
     Class.ActiveWeight -= Own.Weight;
     Own.Backlog = 0;
   }
-  // Sums of fractions drift; an empty level starts from a true zero again.
+  // Rounding errors add up in sums of fractions; an empty level is reset to
+  // zero.
   if (Class.Active.empty()) {
     Class.Backlog = 0;
     Class.ActiveWeight = 0;
@@ -104,21 +106,22 @@
   return Call;
 }
 
-/// The call that gives way in a full queue, and how far its organisation is
-/// above its share.
+/// The call to evict from a full queue, and how far the backlog of its
+/// organisation exceeds its share.
 struct Victim {
-  CallPlace Place; ///< Its last call.
-  double Over;     ///< Cost waiting, over its share.
+  CallPlace Place;        ///< Position of the call.
+  double RelativeBacklog; ///< Queued cost in ms divided by the share.
 };
 
-/// \return The part of the pool that an organisation of this weight is due.
+/// \return The fraction of the pool that an organisation of this weight is due.
 static double shareOf(const FairQueue &Queue, std::size_t Group,
                       std::size_t Class, double Weight, double ActiveWeight) {
   return groupWeight(Queue, Group) * classWeight(Queue, Class) * Weight /
          std::max(ActiveWeight, 1e-9);
 }
 
-/// Finds the last call of whoever has the most waiting for its share.
+/// Finds the last call of the organisation with the largest backlog relative to
+/// its share.
 static Victim findVictim(FairQueue &Queue) {
   Victim Found{{}, -1};
   for (std::size_t G = 0; G < Queue.Groups.size(); ++G) {
@@ -126,13 +129,13 @@
       ClassQueue &Class = Queue.Groups[G].Classes[C];
       for (const auto &[Used, Id] : Class.Active) {
         const OrganisationQueue &Own = Class.Queues.at(Id);
-        double Over =
+        double RelativeBacklog =
             Own.Backlog / shareOf(Queue, G, C, Own.Weight, Class.ActiveWeight);
-        if (Over <= Found.Over)
+        if (RelativeBacklog <= Found.RelativeBacklog)
           continue;
         Found = {{static_cast<OrganisationGroup>(G),
                   static_cast<PipelineClass>(C), Id, Own.Calls.rbegin()->first},
-                 Over};
+                 RelativeBacklog};
       }
     }
   }
@@ -151,27 +154,29 @@
   bool Waiting = Found != Class.Queues.end() && !Found->second.Calls.empty();
   double Own = Waiting ? Found->second.Backlog : 0;
   double Active = Class.ActiveWeight + (Waiting ? 0 : Call.Weight);
-  double Over =
+  double RelativeBacklog =
       (Own + Call.Cost) /
       shareOf(Queue, at(Call.Group), at(Call.Class), Call.Weight, Active);
-  // Whoever is admitted here pushes out the last call of the one furthest above
-  // its share, after that call's earlier stages have run. That pays only for
-  // one that is well below.
-  return Over >= findVictim(Queue).Over * WellBelow;
+  // Admitting the call evicts the last call of the organisation furthest above
+  // its share, after that call's earlier stages have run. That is worthwhile
+  // only for an organisation well below.
+  return RelativeBacklog >=
+         findVictim(Queue).RelativeBacklog * AdmittedBacklogRatio;
 }
 
 std::optional<RequestSerial> queuePush(FairQueue &Queue,
                                        const QueuedCall &Call) {
   assert(!Queue.Places.count(Call.Request));
-  addCall(Queue, placeOf(Queue, Call, ++Queue.LastAge), Call);
+  addCall(Queue, placeOf(Queue, Call, ++Queue.LastSequence), Call);
   if (queueSize(Queue) <= Queue.MaxCalls && Queue.Bytes <= Queue.MaxBytes)
     return std::nullopt;
-  // Refusing whoever comes last would let one organisation fill the queue and
-  // lock the others out; a wave of new ones would do just that.
-  return takeCall(Queue, findVictim(Queue).Place).Request;
+  // Refusing the newest call would let one organisation fill the queue and
+  // lock the others out; a wave of new organisations would do just that.
+  return removeCall(Queue, findVictim(Queue).Place).Request;
 }
 
-/// Picks the index with waiting calls whose clock has used least.
+/// \return The index of the level with queued calls that has used least, or the
+/// number of levels when all are empty.
 template <typename List> static std::size_t leastUsed(const List &Levels) {
   std::size_t Best = Levels.size();
   for (std::size_t I = 0; I < Levels.size(); ++I) {
@@ -189,7 +194,7 @@
   return Best;
 }
 
-/// Charges \p Cost on every level.
+/// Adds \p Cost, in ms, to the share clocks of every level.
 static void charge(FairQueue &Queue, const CallPlace &Place, double Cost) {
   GroupQueue &Group = Queue.Groups[at(Place.Group)];
   ClassQueue &Class = classAt(Queue, Place);
@@ -205,8 +210,8 @@
     Class.Active.insert({Own.Share.Used, Place.Organisation});
 }
 
-/// Forgets organisations that wait for nothing, once there are many.
-static void forgetIdle(ClassQueue &Class) {
+/// Removes organisations without queued calls, once there are many.
+static void evictIdleOrganisations(ClassQueue &Class) {
   if (Class.Queues.size() <= MaxIdleOrganisations + Class.Active.size())
     return;
   std::erase_if(Class.Queues,
@@ -222,14 +227,14 @@
   ClassQueue &Class = Group.Classes[C];
   OrganisationId Id = Class.Active.begin()->second;
   OrganisationQueue &Own = Class.Queues.at(Id);
-  Queue.Present = std::max(Queue.Present, Group.Share.Used);
-  Group.Present = std::max(Group.Present, Class.Share.Used);
-  Class.Present = std::max(Class.Present, Own.Share.Used);
+  Queue.VirtualTime = std::max(Queue.VirtualTime, Group.Share.Used);
+  Group.VirtualTime = std::max(Group.VirtualTime, Class.Share.Used);
+  Class.VirtualTime = std::max(Class.VirtualTime, Own.Share.Used);
   CallPlace Place{static_cast<OrganisationGroup>(G),
                   static_cast<PipelineClass>(C), Id, Own.Calls.begin()->first};
   charge(Queue, Place, Own.Calls.begin()->second.Cost);
-  QueuedCall Call = takeCall(Queue, Place);
-  forgetIdle(Class);
+  QueuedCall Call = removeCall(Queue, Place);
+  evictIdleOrganisations(Class);
   return Call;
 }
 
@@ -238,21 +243,23 @@
   if (Found == Queue.Places.end())
     return false;
   CallPlace Place = Found->second;
-  takeCall(Queue, Place);
+  removeCall(Queue, Place);
   return true;
 }
 
-void queueSettle(FairQueue &Queue, const QueuedCall &Call, double ExtraCost) {
+void queueChargeExtra(FairQueue &Queue, const QueuedCall &Call,
+                      double ExtraCost) {
   charge(Queue, placeOf(Queue, Call, 0), ExtraCost);
 }
 
-double queueAhead(const FairQueue &Queue, OrganisationGroup Group,
-                  PipelineClass Class, OrganisationId Organisation,
-                  double Weight) {
+double queueCostAhead(const FairQueue &Queue, OrganisationGroup Group,
+                      PipelineClass Class, OrganisationId Organisation,
+                      double Weight) {
   if (Queue.ByArrival)
     return Queue.Backlog;
-  // What goes before a call is at most everything, and about its own backlog
-  // divided by the share it is served with beside those who wait too.
+  // The cost served before a new call is about its organisation's own backlog
+  // divided by the share at which it is served beside the others with queued
+  // calls, and at most the whole backlog.
   const GroupQueue &OwnGroup = Queue.Groups[at(Group)];
   const ClassQueue &OwnClass = OwnGroup.Classes[at(Class)];
   double Share = 1;
--- a/src/fair_queue_base.h
+++ b/src/fair_queue_base.h
@@ -1,4 +1,4 @@
-/// \file fair_queue_base.h A queue shared fairly by organisations.
+/// \file fair_queue_base.h State of a queue shared fairly by organisations.
 #ifndef FULMARSTEP_FAIR_QUEUE_BASE_H
 #define FULMARSTEP_FAIR_QUEUE_BASE_H
 
@@ -15,84 +15,94 @@
 
 struct OrganisationTag {};
 struct RequestTag {};
-using OrganisationId = StrongId<OrganisationTag, std::uint32_t>; ///< Local.
-using RequestSerial = StrongId<RequestTag>; ///< Local; never used twice.
+/// Number of an organisation, local to this process.
+using OrganisationId = StrongId<OrganisationTag, std::uint32_t>;
+/// Number of a request, local to this process; never reused.
+using RequestSerial = StrongId<RequestTag>;
 
-/// A stage call that waits for room.
+/// A stage call that waits for an upstream with free capacity.
 struct QueuedCall {
-  RequestSerial Request;       ///< Whose call it is.
-  OrganisationId Organisation; ///< Who pays for it.
-  OrganisationGroup Group = OrganisationGroup::Established; ///< Its group.
-  PipelineClass Class = PipelineClass::Interactive;         ///< Urgency.
+  RequestSerial Request;       ///< Request that the call is for.
+  OrganisationId Organisation; ///< Organisation charged for it.
+  OrganisationGroup Group =
+      OrganisationGroup::Established;               ///< Of the organisation.
+  PipelineClass Class = PipelineClass::Interactive; ///< Of the pipeline.
   double Weight = 1;     ///< Of the organisation in its group.
   double Cost = 1;       ///< Expected busy time in ms.
   TimePoint Deadline{};  ///< Of the whole request.
-  std::size_t Bytes = 0; ///< Memory that waits with it.
+  std::size_t Bytes = 0; ///< Size of its payload.
 };
 
-/// Sorts an organisation's calls: the earliest deadline first, then by age.
+/// Orders an organisation's calls: the earliest deadline first, then in order
+/// of arrival.
 struct CallOrder {
-  TimePoint Deadline{};  ///< Zero in an arrival-ordered queue.
-  std::uint64_t Age = 0; ///< Counts up.
+  TimePoint Deadline{};       ///< Zero in a first come, first served queue.
+  std::uint64_t Sequence = 0; ///< Arrival number.
 
   auto operator<=>(const CallOrder &) const = default;
 };
 
-/// Start-time fair queueing: who has used less than its share goes next.
+/// Start-time fair queueing: the flow that has used least of its share is
+/// served next.
 struct ShareClock {
-  double Used = 0; ///< Cost over weight, carried forward when idle.
+  double Used = 0; ///< Served cost in ms divided by weight; advanced to the
+                   ///< virtual time after idling.
 };
 
-/// The waiting calls of one organisation in one class.
+/// The queued calls of one organisation in one class.
 struct OrganisationQueue {
-  ShareClock Share;                      ///< Against the others of its class.
-  double Weight = 1;                     ///< Of the latest call.
-  double Backlog = 0;                    ///< Cost waiting, ms.
-  std::map<CallOrder, QueuedCall> Calls; ///< In order.
+  ShareClock Share;   ///< Among the organisations of its class.
+  double Weight = 1;  ///< Of the latest call.
+  double Backlog = 0; ///< Queued cost, ms.
+  std::map<CallOrder, QueuedCall> Calls; ///< In service order.
 };
 
 /// The organisations of one group that have calls of one class.
 struct ClassQueue {
-  ShareClock Share;        ///< Against the other class.
-  double Present = 0;      ///< Latest value of a served share clock below.
-  double Backlog = 0;      ///< Cost waiting, ms.
-  double ActiveWeight = 0; ///< Of the organisations with waiting calls.
-  std::unordered_map<OrganisationId, OrganisationQueue> Queues; ///< All seen.
-  /// Those with waiting calls, who has used least first.
+  ShareClock Share;        ///< Among the classes of its group.
+  double VirtualTime = 0;  ///< Latest share clock of a served organisation.
+  double Backlog = 0;      ///< Queued cost, ms.
+  double ActiveWeight = 0; ///< Sum over organisations with queued calls.
+  /// By id; idle ones too.
+  std::unordered_map<OrganisationId, OrganisationQueue> Queues;
+  /// Organisations with queued calls, least used share clock first.
   std::set<std::pair<double, OrganisationId>> Active;
 };
 
 /// The classes of one group.
 struct GroupQueue {
-  ShareClock Share;   ///< Against the other group.
-  double Present = 0; ///< Latest value of a served share clock below.
-  double Backlog = 0; ///< Cost waiting, ms.
+  ShareClock Share;       ///< Among the groups.
+  double VirtualTime = 0; ///< Latest share clock of a served class.
+  double Backlog = 0;     ///< Queued cost, ms.
   std::array<ClassQueue, static_cast<std::size_t>(PipelineClass::Count)>
       Classes; ///< By class.
 };
 
-/// Where a call stands, to take it out again.
+/// Position of a call in the queue, for removing it.
 struct CallPlace {
   OrganisationGroup Group;     ///< Its group.
   PipelineClass Class;         ///< Its class.
   OrganisationId Organisation; ///< Its organisation.
-  CallOrder Order;             ///< Its place there.
+  CallOrder Order;             ///< Key among the organisation's calls.
 };
 
-/// Calls that wait for one pool. Groups share first, so that a wave of new
-/// organisations cannot use its interactive class to pass the old ones' batch.
+/// Calls queued for one pool. Capacity is divided between groups before
+/// classes, so that interactive calls of a wave of new organisations cannot
+/// overtake batch calls of established ones.
 struct FairQueue {
-  bool ByArrival = false;      ///< First come first served, as a baseline.
-  ShareSpec Shares;            ///< Of groups and classes.
-  std::size_t MaxCalls = 1000; ///< Most calls waiting.
-  std::size_t MaxBytes = std::size_t{8} << 20; ///< Most memory waiting.
-  std::size_t Bytes = 0;                       ///< Memory waiting.
-  double Backlog = 0;                          ///< Cost waiting, ms.
-  double Present = 0;        ///< Latest value of a served group's clock.
-  std::uint64_t LastAge = 0; ///< Counts calls.
+  bool ByArrival = false;      ///< First come, first served: the baseline.
+  ShareSpec Shares;            ///< Shares of groups and classes.
+  std::size_t MaxCalls = 1000; ///< Maximum queued calls.
+  std::size_t MaxBytes = std::size_t{8}
+                         << 20;   ///< Maximum queued payload bytes.
+  std::size_t Bytes = 0;          ///< Queued payload bytes.
+  double Backlog = 0;             ///< Queued cost, ms.
+  double VirtualTime = 0;         ///< Latest share clock of a served group.
+  std::uint64_t LastSequence = 0; ///< Arrival number of the newest call.
   std::array<GroupQueue, static_cast<std::size_t>(OrganisationGroup::Count)>
-      Groups;                                          ///< By group.
-  std::unordered_map<RequestSerial, CallPlace> Places; ///< Of waiting calls.
+      Groups; ///< By group.
+  /// Positions of queued calls, by request.
+  std::unordered_map<RequestSerial, CallPlace> Places;
 };
 
 } // namespace fulmar
--- a/src/fair_queue_func.h
+++ b/src/fair_queue_func.h
@@ -1,4 +1,4 @@
-/// \file fair_queue_func.h Putting calls into a fair queue and taking them out.
+/// \file fair_queue_func.h Operations on a fair queue.
 #ifndef FULMARSTEP_FAIR_QUEUE_FUNC_H
 #define FULMARSTEP_FAIR_QUEUE_FUNC_H
 
@@ -10,35 +10,37 @@
 
 /// Adds a call.
 /// \pre Its request is not in the queue.
-/// \return The request that had to give way because the queue was full: the
-/// one added, or one of the organisation furthest above its share. Nothing
-/// when there was room.
+/// \return The request evicted because the queue was full: the one added, or
+/// one of the organisation furthest above its share. Nothing while the queue is
+/// within its limits.
 std::optional<RequestSerial> queuePush(FairQueue &Queue,
                                        const QueuedCall &Call);
 
-/// Takes out the call that is to go next, and charges its cost.
+/// Removes the next call to serve, and charges its cost to its organisation.
 /// \return Nothing when the queue is empty.
 std::optional<QueuedCall> queuePop(FairQueue &Queue);
 
-/// Takes out the call of \p Request without charging it.
-/// \return Whether it was there.
+/// Removes the call of \p Request without charging it.
+/// \return Whether it was queued.
 bool queueRemove(FairQueue &Queue, RequestSerial Request);
 
-/// Charges what a call cost beyond what was expected; may be negative.
-void queueSettle(FairQueue &Queue, const QueuedCall &Call, double ExtraCost);
+/// Charges the difference between a call's actual and expected cost, in ms; may
+/// be negative.
+void queueChargeExtra(FairQueue &Queue, const QueuedCall &Call,
+                      double ExtraCost);
 
-/// Estimates the cost, in ms of one slot, that goes before a new call of this
-/// organisation.
-double queueAhead(const FairQueue &Queue, OrganisationGroup Group,
-                  PipelineClass Class, OrganisationId Organisation,
-                  double Weight);
+/// Estimates the cost, in ms of one upstream slot, that is served before a new
+/// call of this organisation.
+double queueCostAhead(const FairQueue &Queue, OrganisationGroup Group,
+                      PipelineClass Class, OrganisationId Organisation,
+                      double Weight);
 
-/// \return Whether a call of this organisation would have to give way if the
-/// queue had \p Room places; false while there is room.
+/// \return Whether a queue with a capacity of \p Room calls would refuse \p
+/// Call; false while fewer calls are queued.
 bool queueWouldRefuse(FairQueue &Queue, const QueuedCall &Call,
                       std::size_t Room);
 
-/// \return How many calls wait.
+/// \return The number of queued calls.
 inline std::size_t queueSize(const FairQueue &Queue) {
   return Queue.Places.size();
 }
--- a/src/policy_type.h
+++ b/src/policy_type.h
@@ -1,4 +1,4 @@
-/// \file policy_type.h What can be chosen about the router's decisions.
+/// \file policy_type.h Configurable policy of the router.
 #ifndef FULMARSTEP_POLICY_TYPE_H
 #define FULMARSTEP_POLICY_TYPE_H
 
@@ -6,57 +6,68 @@
 
 namespace fulmar {
 
-/// In which order waiting calls are sent.
+/// Order in which queued calls are sent.
 enum class QueueOrder {
-  Fair,    ///< Shares by group, class and organisation; then by deadline.
+  Fair,    ///< Fair shares by group, class and organisation, then by deadline.
   Arrival, ///< First come, first served: the baseline.
   Count,   ///< Number of orders.
   Invalid, ///< Not an order.
 };
 
-/// How an upstream is chosen.
+/// Load balancing rule.
 enum class ChoiceRule {
-  LeastLoaded, ///< Best of a few sampled, with affinity for engines.
-  Random,      ///< Any with room: a baseline.
-  RoundRobin,  ///< Each in turn: a baseline.
+  LeastLoaded, ///< Least loaded of a random sample; affinity for engines.
+  Random,      ///< Random one with free capacity: a baseline.
+  RoundRobin,  ///< Round robin: a baseline.
   Count,       ///< Number of rules.
   Invalid,     ///< Not a rule.
 };
 
-/// How many calls at once an upstream is given.
+/// Rule for the concurrency limit of an upstream.
 enum class LimitRule {
-  Adaptive, ///< Follows latency.
-  Fixed,    ///< The pool's start limit: the baseline.
+  Adaptive, ///< Adapts to latency.
+  Fixed,    ///< Start limit of the pool: the baseline.
   Count,    ///< Number of rules.
   Invalid,  ///< Not a rule.
 };
 
-/// The router's policy. The defaults are what a node runs; the bench sets
-/// others to compare.
+/// Policy of the router. Nodes use the defaults; benchmarks compare them with
+/// other values.
 struct RouterPolicy {
-  QueueOrder Order = QueueOrder::Fair;         ///< Order of waiting calls.
-  ChoiceRule Choice = ChoiceRule::LeastLoaded; ///< Choice of an upstream.
-  LimitRule Limit = LimitRule::Adaptive;       ///< Calls at once.
-  bool Admission = true;      ///< Refuse hopeless work at once.
-  bool Shedding = true;       ///< Refuse hopeless work before each stage.
-  bool Hedging = true;        ///< Double slow idempotent attempts.
-  bool Ejection = true;       ///< Leave out failing and very slow upstreams.
-  bool KeepPace = true;       ///< Wait for turns at upstreams that take little.
-  bool Affinity = true;       ///< Same prefix, same engine, while load allows.
-  bool BoundedRetries = true; ///< Retries spend a budget.
-  bool BoundedQueues = true;  ///< Queues are bounded as the bundle says.
-  int SampleCount = 3;        ///< Upstreams compared for one choice.
-  int MaxAttempts = 3;        ///< Attempts of one stage, hedges included.
-  double LatencyTolerance = 2.0; ///< Latency over the lowest: limit shrinks.
-  double SlowRatio = 4.0;        ///< Latency over the pool's median: left out.
-  double RemoteFactor = 1.2;   ///< Load of another failure domain counts more.
-  double AffinityBound = 1.5;  ///< Load over the mean that ends affinity.
-  double AffinitySlack = 0;    ///< Calls above that bound that still keep it.
-  double AdmissionSlack = 1.0; ///< Expected time times this must fit.
+  QueueOrder Order = QueueOrder::Fair;         ///< Order of queued calls.
+  ChoiceRule Choice = ChoiceRule::LeastLoaded; ///< Load balancing rule.
+  LimitRule Limit = LimitRule::Adaptive;       ///< Concurrency limit rule.
+  /// Refuse requests at arrival that would miss their deadline.
+  bool Admission = true;
+  bool Shedding = true; ///< End requests before a stage when they would miss
+                        ///< their deadline.
+  bool Hedging = true;  ///< Send a second attempt beside a slow idempotent one.
+  bool Ejection = true; ///< Exclude failing and very slow upstreams.
+  /// Exclude upstreams to which the send pace allows no call yet.
+  bool KeepPace = true;
+  bool Affinity = true; ///< Prefer the engine that served the same prefix,
+                        ///< while its load allows.
+  bool BoundedRetries = true; ///< Limit retries by a budget.
+  bool BoundedQueues = true;  ///< Limit queues as the bundle says.
+  int SampleCount = 3;        ///< Upstreams sampled for one choice.
+  int MaxAttempts = 3; ///< Maximum attempts of one stage, hedges included.
+  double LatencyTolerance = 2.0; ///< Ratio of latency to the latency floor
+                                 ///< above which a limit shrinks.
+  double SlowRatio = 4.0; ///< Ratio of latency to the pool's median above which
+                          ///< an upstream is ejected.
+  /// Load factor for upstreams of other failure domains.
+  double RemoteFactor = 1.2;
+  /// Ratio of load to the mean load above which affinity ends.
+  double AffinityBound = 1.5;
+  /// Calls above AffinityBound that still keep affinity.
+  double AffinitySlack = 0;
+  /// Factor on the expected time, which must fit the deadline.
+  double AdmissionSlack = 1.0;
 };
 
-/// \return What the thin path began with: first come first served, round
-/// robin, fixed limits, no admission, retries and queues without a bound.
+/// \return The baseline policy, with which the thin path began: first come,
+/// first served, round robin, fixed limits, no admission control, retries and
+/// queues without a bound.
 inline RouterPolicy baselinePolicy() {
   RouterPolicy Policy;
   Policy.Order = QueueOrder::Arrival;
--- a/src/request_base.h
+++ b/src/request_base.h
@@ -9,46 +9,52 @@
 
 /// One call of a stage to one upstream.
 struct Attempt {
-  AttemptId Id;            ///< Local name.
-  RequestSerial Request;   ///< For whom.
-  std::size_t Stage = 0;   ///< Index in the pipeline.
+  AttemptId Id;            ///< Number, local to this process.
+  RequestSerial Request;   ///< Its request.
+  std::size_t Stage = 0;   ///< Index of the stage in the pipeline.
   std::string Pool;        ///< Name of the pool.
-  UpstreamId Upstream;     ///< Where to.
+  UpstreamId Upstream;     ///< Receiver of the call.
   std::string Address;     ///< IP:PORT.
-  TimePoint Started{};     ///< When it was handed to the I/O layer.
+  TimePoint Started{};     ///< When it was passed to the I/O layer.
   bool MaySent = false;    ///< A byte may have reached the upstream.
-  bool Hedge = false;      ///< A second attempt beside a slow one.
+  bool Hedge = false;      ///< Second attempt beside a slow one.
   std::int64_t Tokens = 0; ///< Tokens received.
-  QueuedCall Call;         ///< As it was charged in the queue.
+  QueuedCall Call;         ///< Call as charged to the queue.
 };
 
 /// A request in progress on this node.
 struct Request {
-  RequestSerial Serial; ///< Local name.
-  RequestInput Input;   ///< What was asked.
-  BundlePtr Under;      ///< Bundle that it began under, and ends under.
-  const PipelineSpec *Pipeline = nullptr;         ///< In that bundle.
-  const OrganisationSpec *Organisation = nullptr; ///< In that bundle.
-  OrganisationId Payer; ///< Local name of the organisation.
-  RequestPhase Phase = RequestPhase::Queued; ///< Where it stands.
+  RequestSerial Serial; ///< Number, local to this process.
+  RequestInput Input;   ///< Request as received.
+  /// Bundle in force at its arrival, used until its end.
+  BundlePtr BundleAtStart;
+  const PipelineSpec *Pipeline = nullptr;         ///< In BundleAtStart.
+  const OrganisationSpec *Organisation = nullptr; ///< In BundleAtStart.
+  OrganisationId OwnerId;                    ///< Organisation charged for it.
+  RequestPhase Phase = RequestPhase::Queued; ///< Phase.
   TimePoint Arrived{};                       ///< When it was submitted.
-  TimePoint Deadline{};                      ///< When its answer is due.
-
-  bool ClaimAsked = false; ///< It asked for that claim.
-  std::size_t Stage = 0;   ///< Index of the current stage.
-  std::string Payload;     ///< Input of the current stage.
-  TimePoint StageReady{};  ///< When the current stage was first queued.
-
-  std::vector<AttemptId> Live;   ///< Attempts in progress.
-  std::vector<UpstreamId> Tried; ///< Upstreams of the current stage.
-  AttemptId Chosen;              ///< Attempt whose tokens the caller gets.
-  bool StageMaySent = false;     ///< A byte of the current stage may be out.
-  bool AnyMaySent = false;       ///< A byte of any stage may be out.
-  bool EffectDone = false;       ///< A non-idempotent stage has completed.
-  std::vector<StageRun> Ran;     ///< Stages sent so far.
-  TimePoint FirstToken{};        ///< When the first token was passed on.
-  TimePoint LastToken{};         ///< When the latest token was passed on.
-  std::int64_t TokensOut = 0;    ///< Tokens passed on.
+  TimePoint Deadline{};                      ///< When its response is due.
+
+  bool ClaimRequested = false; ///< A claim on its id was requested.
+  std::size_t Stage = 0;       ///< Index of the current stage.
+  std::string Payload;         ///< Input of the current stage.
+  TimePoint StageReady{};      ///< When the current stage was first queued.
+
+  /// Attempts of the current stage in progress.
+  std::vector<AttemptId> LiveAttempts;
+  std::vector<UpstreamId>
+      TriedUpstreams;         ///< Upstreams tried for the current stage.
+  AttemptId StreamingAttempt; ///< Attempt whose tokens the caller receives; 0:
+                              ///< none yet.
+  /// A byte of the current stage may have reached an upstream.
+  bool StageMaySent = false;
+  /// A byte of any stage may have reached an upstream.
+  bool AnyMaySent = false;
+  bool EffectDone = false;    ///< A non-idempotent stage has completed.
+  std::vector<StageRun> Ran;  ///< Stages sent so far.
+  TimePoint FirstToken{};     ///< When the first token was sent to the caller.
+  TimePoint LastToken{};      ///< When the latest token was sent to the caller.
+  std::int64_t TokensOut = 0; ///< Tokens sent to the caller.
 
   /// \return The current stage.
   const StageSpec &stage() const { return Pipeline->Stages[Stage]; }
--- a/src/request_fingerprint.cpp
+++ b/src/request_fingerprint.cpp
@@ -1,4 +1,4 @@
-/// \file request_fingerprint.cpp Recognises a request that comes again under
+/// \file request_fingerprint.cpp Recognises a request that is repeated with
 /// another id.
 #include "request_fingerprint.h"
 
@@ -10,8 +10,8 @@
 
 Fingerprint requestFingerprint(std::string_view Caller, std::string_view Host,
                                std::string_view Target, std::string_view Body) {
-  // Each part seeds the next one, so that text which moves from the end of one
-  // part to the beginning of another gives another hash.
+  // Each field seeds the hash of the next one, so that moving text across a
+  // field boundary changes the hash.
   std::uint64_t Hash = hash64(Caller);
   Hash = hash64(Host, Hash);
   Hash = hash64(Target, Hash);
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -1,4 +1,4 @@
-/// \file router.cpp Requests: arrival, claim, deadline, end.
+/// \file router.cpp Life cycle of requests: admission, claim, deadline, end.
 #include <cassert>
 
 #include "admission_func.h"
@@ -10,10 +10,11 @@
 
 namespace fulmar {
 
-/// Time between two looks at estimates and slow upstreams.
+/// Interval between sweeps of estimates and slow upstreams.
 static constexpr Duration SweepPeriod = std::chrono::milliseconds(250);
 
-OrganisationId payerOf(RouterState &State, const std::string &Organisation) {
+OrganisationId organisationIdOf(RouterState &State,
+                                const std::string &Organisation) {
   auto Next = OrganisationId{static_cast<std::uint32_t>(State.Payers.size())};
   return State.Payers.try_emplace(Organisation, Next).first->second;
 }
@@ -22,7 +23,7 @@
   return !R.stage().Idempotent && R.StageMaySent;
 }
 
-/// Fills in what every report says.
+/// Makes the report of a request that ends with \p Code.
 static RequestReport makeReport(const Request &R, ResultCode Code,
                                 std::string Output, TimePoint Now) {
   RequestReport Report;
@@ -34,7 +35,7 @@
   Report.Code = Code;
   Report.Output = std::move(Output);
   Report.Ran = R.Ran;
-  Report.BundleVersion = R.Under ? R.Under->Version : 0;
+  Report.BundleVersion = R.BundleAtStart ? R.BundleAtStart->Version : 0;
   Report.Took = Now - R.Arrived;
   if (R.TokensOut > 0)
     Report.FirstToken = R.FirstToken - R.Arrived;
@@ -44,9 +45,9 @@
   return Report;
 }
 
-/// Tells the ledger how a request ended that holds, or may hold, a claim.
+/// Releases or records the claim that a finished request holds, or may hold.
 static void settleClaim(const Request &R, ResultCode Code, RouterActions &Out) {
-  if (!R.ClaimAsked)
+  if (!R.ClaimRequested)
     return;
   ResultFamily Family = resultFamily(Code);
   if (Family == ResultFamily::NotRun || Family == ResultFamily::Failed) {
@@ -56,7 +57,7 @@
   Out.push_back(RecordAction{R.Serial, R.Input.Organisation, R.Input.Id, Code});
 }
 
-/// Ends a request that was never taken into the books.
+/// Ends a request that was not added to the state.
 static void refuse(const Request &R, ResultCode Code, std::string Message,
                    TimePoint Now, RouterActions &Out) {
   Out.push_back(FinishAction{makeReport(R, Code, std::move(Message), Now)});
@@ -68,7 +69,9 @@
   cancelOthers(State, R, AttemptId{}, Now, Out);
   if (R.EffectDone && resultFamily(Code) == ResultFamily::Failed)
     Code = ResultCode::PartlyRun;
-  // The two promises that a caller acts upon, checked where they are made.
+  // Callers rely on these two guarantees: "not run" means that no byte can
+  // have reached an upstream, "failed" that no non-idempotent stage may be
+  // running.
   assert(!(resultFamily(Code) == ResultFamily::NotRun && R.AnyMaySent));
   assert(!(resultFamily(Code) == ResultFamily::Failed && effectPending(R)));
   auto Place = State.Pools.find(R.stage().Pool);
@@ -89,13 +92,15 @@
   R.Phase = RequestPhase::Detached;
 }
 
-/// Checks what the bundle says about a request.
-/// \return The code to refuse it with, or Invalid when it is welcome.
+/// Validates a request against the bundle and the limit of requests in
+/// progress.
+/// \return The code to refuse it with, or Invalid when it is valid.
 static ResultCode checkInput(const RouterState &State, Request &R) {
-  R.Pipeline = Bundle::find(R.Under->Pipelines, R.Input.Pipeline);
+  R.Pipeline = Bundle::find(R.BundleAtStart->Pipelines, R.Input.Pipeline);
   if (!R.Pipeline)
     return ResultCode::UnknownPipeline;
-  R.Organisation = Bundle::find(R.Under->Organisations, R.Input.Organisation);
+  R.Organisation =
+      Bundle::find(R.BundleAtStart->Organisations, R.Input.Organisation);
   if (!R.Organisation)
     return ResultCode::NotAllowed;
   const auto &Allowed = R.Organisation->Pipelines;
@@ -112,15 +117,15 @@
   return ResultCode::Invalid;
 }
 
-/// While a pool is down, one request is let through to it in this time.
+/// Interval between requests that are let through to a pool that is down.
 static constexpr Duration ProbePeriod = std::chrono::milliseconds(100);
-/// Part of a queue that is filled by admission; the rest is for requests that
-/// are on their way from earlier stages.
+/// Fraction of a later stage's queue that admission may fill; the rest is
+/// reserved for requests in progress at earlier stages.
 static constexpr double AdmissionShare = 0.8;
 
-/// Whether \p R would find no place at a later stage. Without this it would be
-/// refused there, after the earlier stages have worked for nothing, and its
-/// caller would hear "failed" in place of "not run".
+/// \return Whether the queue of a later stage would refuse \p R. Without this
+/// check the request would be refused there, after the earlier stages have
+/// worked in vain, and its caller would get "failed" instead of "not run".
 static bool stageFull(RouterState &State, Pool &P, const StageSpec &Stage,
                       const Request &R) {
   auto Room = static_cast<std::size_t>(static_cast<double>(P.Queue.MaxCalls) *
@@ -129,9 +134,9 @@
                           std::max<std::size_t>(1, Room));
 }
 
-/// Whether a pool is down, and was probed a moment ago. A request that needs it
-/// would use up the stages before it and fail; one now and then still goes, to
-/// notice when it is back.
+/// \return Whether a pool is down and was probed within ProbePeriod. A request
+/// that needs the pool would use capacity of earlier stages and fail. One
+/// request per period is let through, to detect recovery.
 static bool downAndProbed(Pool &P, TimePoint Now) {
   if (!poolDown(P))
     return false;
@@ -141,13 +146,15 @@
   return false;
 }
 
-/// Checks whether a welcome request can be served now.
+/// Checks whether a valid request can be served now: rate limit, capacity and
+/// deadline.
+/// \return The code to refuse it with, or Invalid when it can be.
 static ResultCode checkCapacity(RouterState &State, Request &R, TimePoint Now) {
-  if (!takeRate(State, *R.Organisation, R.Payer, Now))
+  if (!acquireRateToken(State, *R.Organisation, R.OwnerId, Now))
     return ResultCode::OverLimit;
   for (const StageSpec &Stage : R.Pipeline->Stages) {
     Pool &P = State.Pools.at(Stage.Pool);
-    // The first stage's queue decides by itself, before anything has run.
+    // The queue of the first stage refuses by itself, before any stage has run.
     bool Later = &Stage != &R.Pipeline->Stages.front();
     if (State.Policy.Admission && Later && stageFull(State, P, Stage, R))
       return ResultCode::QueueFull;
@@ -165,17 +172,18 @@
   return ResultCode::Invalid;
 }
 
-/// Takes a new request in, up to the point where its first stage is queued.
+/// Admits a request: queues its first stage, or requests its claim first.
 static void acceptRequest(RouterState &State, Request &R, TimePoint Now,
                           RouterActions &Out) {
-  State.Agenda.push({R.Deadline, WakeKind::Deadline, R.Serial, AttemptId{}});
+  State.TimerQueue.push(
+      {R.Deadline, RouterTimerKind::Deadline, R.Serial, AttemptId{}});
   ++State.Counts.Accepted;
   if (R.Pipeline->idempotent())
     return enqueueStage(State, R, Now, Out);
-  // The claim is committed before the first stage is sent, not before the
+  // The claim is committed before the first stage is sent, not only before the
   // non-idempotent one: a repeated id then costs no stage any work.
   R.Phase = RequestPhase::Claiming;
-  R.ClaimAsked = true;
+  R.ClaimRequested = true;
   Out.push_back(
       ClaimAction{R.Serial, R.Input.Organisation, R.Input.Id, R.Deadline});
 }
@@ -187,9 +195,9 @@
   R.Input = Input;
   R.Arrived = Now;
   R.Deadline = Now;
-  R.Under = State.InForce;
+  R.BundleAtStart = State.InForce;
   RequestSerial Serial = R.Serial;
-  if (State.Draining || !R.Under) {
+  if (State.Draining || !R.BundleAtStart) {
     refuse(R, State.Draining ? ResultCode::Draining : ResultCode::NotReady, "",
            Now, Out);
     return Serial;
@@ -200,7 +208,7 @@
                          ? Input.Deadline
                          : std::chrono::milliseconds(R.Pipeline->DeadlineMs);
     R.Deadline = Now + Given;
-    R.Payer = payerOf(State, Input.Organisation);
+    R.OwnerId = organisationIdOf(State, Input.Organisation);
     R.Payload = Input.Input;
     Code = checkCapacity(State, R, Now);
   }
@@ -210,7 +218,7 @@
   }
   Request &Kept = State.Requests.emplace(Serial, std::move(R)).first->second;
   acceptRequest(State, Kept, Now, Out);
-  pumpTouched(State, Now, Out);
+  dispatchQueued(State, Now, Out);
   return Serial;
 }
 
@@ -220,30 +228,30 @@
   auto Found = State.Requests.find(Serial);
   if (Found == State.Requests.end() ||
       Found->second.Phase != RequestPhase::Claiming) {
-    // Its caller has its answer; the release was asked for at that time.
-    ++State.Counts.ClaimsLate;
+    // The caller has its response; the release was requested at that time.
+    ++State.Counts.LateClaims;
     return;
   }
   Request &R = Found->second;
-  // A process that was paused can read a grant long after it was made. Nothing
-  // was sent yet, so that it is late is all there is to say.
+  // A process that was paused can read a grant long after it was made. No stage
+  // was sent yet, so the request ends as not run.
   if (Now >= R.Deadline)
     return finishRequest(State, R, ResultCode::DeadlineInQueue, "", Now, Out);
   switch (Verdict) {
   case ClaimVerdict::Granted:
     enqueueStage(State, R, Now, Out);
-    pumpTouched(State, Now, Out);
+    dispatchQueued(State, Now, Out);
     return;
   case ClaimVerdict::InProgress:
-    R.ClaimAsked = false;
+    R.ClaimRequested = false;
     return finishRequest(State, R, ResultCode::IdInProgress, "", Now, Out);
   case ClaimVerdict::Completed:
-    R.ClaimAsked = false;
+    R.ClaimRequested = false;
     if (EarlierCode == ResultCode::Complete)
       EarlierCode = ResultCode::CompletedEarlier;
     return finishRequest(State, R, EarlierCode, "", Now, Out);
   case ClaimVerdict::Releasing:
-    R.ClaimAsked = false;
+    R.ClaimRequested = false;
     return finishRequest(State, R, ResultCode::ClaimBeingReleased, "", Now,
                          Out);
   case ClaimVerdict::Unavailable:
@@ -253,7 +261,7 @@
   }
 }
 
-/// \return The request, unless its caller has its answer already.
+/// \return The request, or nullptr when its caller already has a response.
 static Request *openRequest(RouterState &State, RequestSerial Serial) {
   auto Found = State.Requests.find(Serial);
   bool Open = Found != State.Requests.end() &&
@@ -275,7 +283,7 @@
                 R.AnyMaySent ? ResultCode::CallerLeftRunning
                              : ResultCode::CallerLeft,
                 "", Now, Out, false);
-  pumpTouched(State, Now, Out);
+  dispatchQueued(State, Now, Out);
 }
 
 static void deadlinePassed(RouterState &State, RequestSerial Serial,
@@ -296,37 +304,38 @@
   finishRequest(State, R, Code, "", Now, Out);
 }
 
-/// Lets estimates age and outliers go; gives readmitted upstreams their calls.
+/// Ages estimates, ejects slow upstreams, and marks all pools for dispatch, so
+/// that readmitted upstreams get calls.
 static void sweep(RouterState &State, TimePoint Now) {
   for (auto &[Key, Estimate] : State.Estimates)
     estimateAge(Estimate, Now);
   for (auto &[Name, P] : State.Pools) {
     ejectSlow(P, State.Policy, Now);
-    State.Touched.push_back(&P);
+    State.PoolsToDispatch.push_back(&P);
   }
   State.NextSweep = Now + SweepPeriod;
 }
 
 void routerTick(RouterState &State, TimePoint Now, RouterActions &Out) {
-  while (!State.Agenda.empty() && State.Agenda.top().Due <= Now) {
-    Wake W = State.Agenda.top();
-    State.Agenda.pop();
-    if (W.Kind == WakeKind::Deadline)
+  while (!State.TimerQueue.empty() && State.TimerQueue.top().Due <= Now) {
+    RouterTimer W = State.TimerQueue.top();
+    State.TimerQueue.pop();
+    if (W.Kind == RouterTimerKind::Deadline)
       deadlinePassed(State, W.Request, Now, Out);
-    else if (W.Kind == WakeKind::Hedge)
+    else if (W.Kind == RouterTimerKind::Hedge)
       hedgeAttempt(State, W.Attempt, Now, Out);
     else
       attemptTimedOut(State, W.Attempt, Now, Out);
   }
   if (Now >= State.NextSweep)
     sweep(State, Now);
-  pumpTouched(State, Now, Out);
+  dispatchQueued(State, Now, Out);
 }
 
 std::optional<TimePoint> routerNextDue(const RouterState &State) {
-  if (State.Agenda.empty())
+  if (State.TimerQueue.empty())
     return State.NextSweep;
-  return std::min(State.Agenda.top().Due, State.NextSweep);
+  return std::min(State.TimerQueue.top().Due, State.NextSweep);
 }
 
 } // namespace fulmar
--- a/src/router_attempt.cpp
+++ b/src/router_attempt.cpp
@@ -1,4 +1,4 @@
-/// \file router_attempt.cpp What comes back from attempts.
+/// \file router_attempt.cpp Handles tokens, results and timeouts of attempts.
 #include <algorithm>
 
 #include "admission_func.h"
@@ -20,9 +20,9 @@
   auto Node = State.Attempts.extract(Id);
   Attempt A = std::move(Node.mapped());
   Request &R = State.Requests.at(A.Request);
-  std::erase(R.Live, Id);
+  std::erase(R.LiveAttempts, Id);
   Pool &P = State.Pools.at(A.Pool);
-  State.Touched.push_back(&P);
+  State.PoolsToDispatch.push_back(&P);
   Upstream *U = upstreamById(P, A.Upstream);
   if (U)
     --U->InFlight;
@@ -37,8 +37,8 @@
 
 void cancelOthers(RouterState &State, Request &R, AttemptId Keep, TimePoint Now,
                   RouterActions &Out) {
-  std::vector<AttemptId> Live = R.Live;
-  for (AttemptId Id : Live) {
+  std::vector<AttemptId> LiveAttempts = R.LiveAttempts;
+  for (AttemptId Id : LiveAttempts) {
     if (Id == Keep)
       continue;
     closeAttempt(State, Id, true, Now, Out);
@@ -68,36 +68,37 @@
     return;
   if (!R.Input.Stream)
     return;
-  if (R.Chosen.Value == 0) {
-    // From here on the caller holds tokens of this attempt, and only its
-    // continuation fits them.
-    R.Chosen = Id;
+  if (R.StreamingAttempt.Value == 0) {
+    // The caller now has tokens of this attempt, so only this attempt can
+    // continue the stream.
+    R.StreamingAttempt = Id;
     cancelOthers(State, R, Id, Now, Out);
   }
   if (R.TokensOut++ == 0)
     R.FirstToken = Now;
   R.LastToken = Now;
   Out.push_back(TokenAction{R.Serial, std::string(Text)});
-  pumpTouched(State, Now, Out);
+  dispatchQueued(State, Now, Out);
 }
 
-/// Whether one more attempt can do no harm and can still be of use.
+/// \return Whether one more attempt is safe, can complete before the deadline
+/// and is within the retry budget. Spends the budget if so.
 static bool mayRetry(RouterState &State, const Request &R, TimePoint Now) {
-  if (effectPending(R) || R.Chosen.Value != 0)
+  if (effectPending(R) || R.StreamingAttempt.Value != 0)
     return false;
   if (R.Ran.back().Attempts >= State.Policy.MaxAttempts)
     return false;
   if (Now + remainingService(State, R, Quantile::Median) > R.Deadline)
     return false;
   return !State.Policy.BoundedRetries ||
-         retrySpend(State.Budgets[R.Input.Pipeline]);
+         retrySpend(State.RetryBudgets[R.Input.Pipeline]);
 }
 
 void retryOrFail(RouterState &State, Request &R, ResultCode Code,
                  const std::string &Message, TimePoint Now,
                  RouterActions &Out) {
-  // Another attempt of the same stage may still answer.
-  if (!R.Live.empty())
+  // Another attempt of the same stage may still succeed.
+  if (!R.LiveAttempts.empty())
     return;
   if (R.Phase == RequestPhase::Detached) {
     finishRequest(State, R, ResultCode::OutcomeUnknown, Message, Now, Out);
@@ -118,7 +119,9 @@
   finishRequest(State, R, Code, Message, Now, Out);
 }
 
-/// Records what an attempt cost.
+/// Adds the cost of an attempt to the stage's report, and charges the
+/// difference to its expected cost to the queue.
+/// \param Counted whether the attempt succeeded; otherwise its cost is wasted.
 static void settleCost(RouterState &State, Request &R, const Attempt &A,
                        const AttemptResult &Result, bool Counted,
                        TimePoint Now) {
@@ -134,10 +137,10 @@
     Run.WastedMs += Busy;
   }
   Pool &P = State.Pools.at(A.Pool);
-  queueSettle(P.Queue, A.Call, Took - A.Call.Cost);
+  queueChargeExtra(P.Queue, A.Call, Took - A.Call.Cost);
 }
 
-/// Goes on to the next stage, or ends the request as complete.
+/// Starts the next stage, or ends the request after its last one.
 static void stageDone(RouterState &State, Request &R,
                       const AttemptResult &Result, TimePoint Now,
                       RouterActions &Out) {
@@ -146,7 +149,7 @@
   R.StageMaySent = false;
   if (R.lastStage() || R.Phase == RequestPhase::Detached) {
     // A detached request ends with the non-idempotent stage that it was kept
-    // for; later stages would work for a caller that has left.
+    // for; later stages would work for a caller that already has a response.
     ResultCode Code =
         R.lastStage() ? ResultCode::Complete : ResultCode::PartlyRun;
     finishRequest(State, R, Code, Result.Output, Now, Out);
@@ -154,8 +157,8 @@
   }
   ++R.Stage;
   R.Payload = Result.Output;
-  R.Tried.clear();
-  R.Chosen = AttemptId{};
+  R.TriedUpstreams.clear();
+  R.StreamingAttempt = AttemptId{};
   enqueueStage(State, R, Now, Out);
 }
 
@@ -175,7 +178,7 @@
   stageDone(State, R, Result, Now, Out);
 }
 
-/// The code for a failed attempt when nothing more can be tried.
+/// \return The result code for a failed attempt that is not retried.
 static ResultCode codeOf(const Request &R, AttemptEnd End) {
   switch (End) {
   case AttemptEnd::ConnectFailed:
@@ -196,7 +199,7 @@
 static void attemptFailed(RouterState &State, AttemptId Id,
                           const AttemptResult &Result, TimePoint Now,
                           RouterActions &Out) {
-  // An answer, even a bad one, proves that bytes went out.
+  // A response, even a malformed one, proves that bytes were sent.
   if (Result.End != AttemptEnd::ConnectFailed)
     attemptSent(State, Id);
   Attempt A = closeAttempt(State, Id, false, Now, Out);
@@ -231,7 +234,7 @@
     attemptAnswered(State, Id, Result, Now, Out);
   else
     attemptFailed(State, Id, Result, Now, Out);
-  pumpTouched(State, Now, Out);
+  dispatchQueued(State, Now, Out);
 }
 
 void attemptTimedOut(RouterState &State, AttemptId Id, TimePoint Now,
@@ -242,7 +245,7 @@
   Request &R = State.Requests.at(Found->second.Request);
   if (effectPending(R)) {
     // Closing the connection would not undo a non-idempotent call, and would
-    // lose the answer that says whether it was done.
+    // lose the response that says whether it was done.
     if (R.Phase != RequestPhase::Detached)
       detachRequest(State, R, ResultCode::OutcomeUnknown, Now, Out, true);
     return;
--- a/src/router_base.h
+++ b/src/router_base.h
@@ -1,4 +1,4 @@
-/// \file router_base.h The router's state and the actions that it asks for.
+/// \file router_base.h State of the router and the actions that it requests.
 #ifndef FULMARSTEP_ROUTER_BASE_H
 #define FULMARSTEP_ROUTER_BASE_H
 
@@ -15,132 +15,137 @@
 
 /// Send one attempt to an upstream.
 struct DispatchAction {
-  AttemptId Attempt;        ///< Name that results come back under.
-  RequestSerial Request;    ///< For whom.
-  std::string RequestId;    ///< Sent along; must come back in the answer.
-  std::string Organisation; ///< Sent along.
-  std::string Address;      ///< IP:PORT.
-  PoolKind Kind = PoolKind::Stage; ///< Protocol.
+  AttemptId Attempt;        ///< Identifies results of this attempt.
+  RequestSerial Request;    ///< Request of the attempt.
+  std::string RequestId;    ///< Sent to the upstream, which must return it.
+  std::string Organisation; ///< Sent to the upstream.
+  std::string Address;      ///< IP:PORT of the upstream.
+  PoolKind Kind = PoolKind::Stage; ///< Determines the protocol.
   std::string Path;                ///< HTTP path.
-  std::string Model;               ///< For engines.
-  std::string Adapter;             ///< For engines; may be empty.
+  std::string Model;               ///< For engines: model.
+  std::string Adapter;             ///< For engines: adapter; may be empty.
   std::string Stage;               ///< Name of the stage.
   std::string Payload;             ///< Input text.
-  std::int64_t MaxTokens = 0;      ///< For engines.
-  Duration Budget{};               ///< Time that its answer may take.
-  bool Idempotent = true;          ///< If not: a fresh connection, sent once.
+  std::int64_t MaxTokens = 0;      ///< For engines: maximum tokens to generate.
+  Duration Budget{};               ///< Time until its response is due.
+  bool Idempotent = true; ///< If false: sent once, on a new connection.
 };
 
-/// Close an attempt's connection; its result no longer counts.
+/// Cancel an attempt: close its connection and ignore its result.
 struct CancelAction {
-  AttemptId Attempt; ///< Which.
+  AttemptId Attempt; ///< Attempt.
 };
 
-/// Pass a token on to the caller.
+/// Send a token to the caller.
 struct TokenAction {
-  RequestSerial Request; ///< Whose.
+  RequestSerial Request; ///< Request.
   std::string Text;      ///< The token.
 };
 
-/// Give the caller its final answer, and record it.
+/// Send the caller its final response, and add the report to metrics and log.
 struct FinishAction {
-  RequestReport Report; ///< All there is to know.
-  bool Deliver = true;  ///< False: the caller has left.
+  RequestReport Report; ///< Result.
+  bool Deliver = true;  ///< False: the caller has disconnected.
 };
 
-/// Ask the ledger for the claim on a request's id.
+/// Request a claim on a request id from the ledger.
 struct ClaimAction {
-  RequestSerial Request;    ///< Whose.
-  std::string Organisation; ///< Part of the ledger's key.
-  std::string RequestId;    ///< The other part.
-  TimePoint Deadline{};     ///< When an answer is no longer of use.
+  RequestSerial Request;    ///< Request.
+  std::string Organisation; ///< Part of the ledger key.
+  std::string RequestId;    ///< Part of the ledger key.
+  TimePoint Deadline{};     ///< When the decision is no longer needed.
 };
 
-/// Give a claim back: the request was not run.
+/// Release a claim: the request was not run, or may be run again.
 struct ReleaseAction {
-  RequestSerial Request;    ///< Whose.
-  std::string Organisation; ///< Part of the ledger's key.
-  std::string RequestId;    ///< The other part.
+  RequestSerial Request;    ///< Request.
+  std::string Organisation; ///< Part of the ledger key.
+  std::string RequestId;    ///< Part of the ledger key.
 };
 
-/// Record how a claimed request ended.
+/// Record the result code of a claimed request in the ledger.
 struct RecordAction {
-  RequestSerial Request;                 ///< Whose.
-  std::string Organisation;              ///< Part of the ledger's key.
-  std::string RequestId;                 ///< The other part.
-  ResultCode Code = ResultCode::Invalid; ///< How it ended.
+  RequestSerial Request;                 ///< Request.
+  std::string Organisation;              ///< Part of the ledger key.
+  std::string RequestId;                 ///< Part of the ledger key.
+  ResultCode Code = ResultCode::Invalid; ///< Result code.
 };
 
-/// Anything that the router asks its surroundings to do.
+/// An effect that the router requests: calls, responses and ledger operations.
 using RouterAction =
     std::variant<DispatchAction, CancelAction, TokenAction, FinishAction,
                  ClaimAction, ReleaseAction, RecordAction>;
 using RouterActions = std::vector<RouterAction>;
 
-/// What happens to a request or attempt at a set time.
-enum class WakeKind {
-  Deadline,       ///< The request's deadline.
-  AttemptTimeout, ///< The longest time of an attempt.
-  Hedge,          ///< An attempt has become slow.
+/// What a timer of the router is for.
+enum class RouterTimerKind {
+  Deadline,       ///< Deadline of a request.
+  AttemptTimeout, ///< Timeout of an attempt.
+  Hedge,          ///< An attempt is slow enough to be hedged.
   Count,          ///< Number of kinds.
   Invalid,        ///< Not a kind.
 };
 
-/// One entry of the router's own agenda.
-struct Wake {
-  TimePoint Due{};                   ///< When.
-  WakeKind Kind = WakeKind::Invalid; ///< What.
-  RequestSerial Request;             ///< For Deadline.
-  AttemptId Attempt;                 ///< For the others.
+/// A timer of the router.
+struct RouterTimer {
+  TimePoint Due{};                                 ///< Expiry.
+  RouterTimerKind Kind = RouterTimerKind::Invalid; ///< Purpose.
+  RequestSerial Request; ///< For Deadline: the request.
+  AttemptId Attempt;     ///< For the other kinds: the attempt.
 
-  bool operator>(const Wake &Other) const { return Due > Other.Due; }
+  bool operator>(const RouterTimer &Other) const { return Due > Other.Due; }
 };
 
-/// The rate of one organisation on this node.
+/// Rate limit token bucket and arrival rate of one organisation on this node.
 struct RateBucket {
-  double Tokens = 0;    ///< Requests that may come now.
-  TimePoint Filled{};   ///< When it was last topped up.
-  double Arrivals = 0;  ///< Smoothed requests/s seen here.
-  TimePoint Measured{}; ///< When that was last brought up to date.
-  double Share = 1;     ///< Part of the fleet's limit that falls here.
+  double Tokens = 0;       ///< Requests that may be admitted now.
+  TimePoint LastRefill{};  ///< When Tokens was last refilled.
+  double ArrivalRate = 0;  ///< Smoothed arrival rate, requests/s.
+  TimePoint LastArrival{}; ///< When ArrivalRate was last updated.
+  double Share = 1; ///< This node's share of the fleet-wide limit, 0 to 1.
 };
 
-/// Counts for operators and for the checks of promises.
+/// Counters for operators and for tests of the router's guarantees.
 struct RouterCounts {
-  std::uint64_t Accepted = 0;   ///< Requests submitted.
+  std::uint64_t Accepted = 0;   ///< Requests admitted.
   std::uint64_t Dispatched = 0; ///< Attempts sent.
-  std::uint64_t Retries = 0;    ///< Of them after a failure.
-  std::uint64_t Hedges = 0;     ///< Of them beside a slow one.
-  std::uint64_t Late = 0;       ///< Results of unknown attempts, dropped.
-  std::uint64_t Foreign = 0;    ///< Answers of another request, dropped.
-  std::uint64_t ClaimsLate = 0; ///< Claim verdicts after the request ended.
+  std::uint64_t Retries = 0;    ///< Retries after a failed attempt.
+  std::uint64_t Hedges = 0;     ///< Attempts sent beside a slow one.
+  std::uint64_t Late = 0; ///< Tokens and results of unknown attempts, dropped.
+  /// Malformed responses, or responses to another request.
+  std::uint64_t Foreign = 0;
+  std::uint64_t LateClaims = 0; ///< Claim decisions after the request ended.
 };
 
-/// Everything the router knows.
+/// State of the router.
 struct RouterState {
-  RouterPolicy Policy;            ///< How it decides.
+  RouterPolicy Policy;            ///< Policy.
   std::string OwnDomain;          ///< This node's failure domain.
-  Random Rng;                     ///< Seeded.
-  BundlePtr InForce;              ///< Null until there is one.
-  bool Draining = false;          ///< Refuses new requests.
-  std::size_t MaxRequests = 4096; ///< In progress at once.
+  Random Rng;                     ///< Random numbers, seeded.
+  BundlePtr InForce;              ///< Bundle in force; null until there is one.
+  bool Draining = false;          ///< Refuse new requests.
+  std::size_t MaxRequests = 4096; ///< Maximum requests in progress.
   std::unordered_map<RequestSerial, Request> Requests; ///< In progress.
   std::unordered_map<AttemptId, Attempt> Attempts;     ///< In progress.
-  std::map<std::string, Pool> Pools; ///< By name; kept while calls refer.
-  std::unordered_map<std::string, OrganisationId> Payers; ///< Local names.
-  double EvenShare = 1; ///< Of the fleet's limits, while demand is not known.
-  std::unordered_map<OrganisationId, RateBucket> Rates; ///< By payer.
-  std::unordered_map<std::string, RetryBudget> Budgets; ///< By pipeline.
-  std::map<std::pair<std::string, std::string>, Estimate>
-      Estimates; ///< By
-                 ///< pipeline and stage.
-  std::priority_queue<Wake, std::vector<Wake>, std::greater<>> Agenda; ///< All.
-  std::vector<Pool *> Touched; ///< Pools with new room or calls, to be pumped.
-  TimePoint NextSweep{}; ///< When estimates and outliers are next seen to.
-  std::uint64_t LastSerial = 0;   ///< Counts requests.
-  std::uint64_t LastAttempt = 0;  ///< Counts attempts.
-  std::uint32_t LastUpstream = 0; ///< Counts upstreams.
-  RouterCounts Counts;            ///< For operators.
+  std::map<std::string, Pool>
+      Pools; ///< By name; never removed, as calls refer to them.
+  std::unordered_map<std::string, OrganisationId> Payers; ///< By name.
+  /// Even share of the fleet-wide limits, used while demand is unknown.
+  double EvenShare = 1;
+  std::unordered_map<OrganisationId, RateBucket> Rates; ///< By organisation.
+  std::unordered_map<std::string, RetryBudget> RetryBudgets; ///< By pipeline.
+  /// By pipeline and stage.
+  std::map<std::pair<std::string, std::string>, Estimate> Estimates;
+  std::priority_queue<RouterTimer, std::vector<RouterTimer>, std::greater<>>
+      TimerQueue; ///< Earliest first.
+  /// Pools that may have free capacity and queued calls.
+  std::vector<Pool *> PoolsToDispatch;
+  /// Next aging of estimates and ejection of slow upstreams.
+  TimePoint NextSweep{};
+  std::uint64_t LastSerial = 0;   ///< Number of the newest request.
+  std::uint64_t LastAttempt = 0;  ///< Number of the newest attempt.
+  std::uint32_t LastUpstream = 0; ///< Number of the newest upstream.
+  RouterCounts Counts;            ///< Counters.
 };
 
 } // namespace fulmar
--- a/src/router_dispatch.cpp
+++ b/src/router_dispatch.cpp
@@ -1,4 +1,4 @@
-/// \file router_dispatch.cpp From a queued stage to an attempt on its way.
+/// \file router_dispatch.cpp Queues stages and sends attempts to upstreams.
 #include <algorithm>
 #include <cassert>
 
@@ -11,18 +11,19 @@
 
 namespace fulmar {
 
-/// A hedge is sent once an attempt took this many times the tail quantile.
+/// A hedge is sent once an attempt has taken this many times the tail quantile.
 static constexpr double HedgeFactor = 1.3;
-/// Bytes of the payload that engines are assumed to share as a prefix.
+/// Length of the payload prefix that engines are assumed to cache, in bytes.
 static constexpr std::size_t PrefixBytes = 64;
-/// How long a non-idempotent attempt may run on after its caller was answered.
+/// How long a non-idempotent attempt may continue after its caller got a
+/// response.
 static constexpr Duration DetachedGrace = std::chrono::seconds(30);
 
 QueuedCall makeCall(RouterState &State, const Request &R,
                     const StageSpec &Stage) {
   QueuedCall Call;
   Call.Request = R.Serial;
-  Call.Organisation = R.Payer;
+  Call.Organisation = R.OwnerId;
   Call.Group = R.Organisation->Group;
   Call.Class = R.Pipeline->Class;
   Call.Weight = R.Organisation->Weight;
@@ -37,18 +38,20 @@
   Pool &P = State.Pools.at(R.stage().Pool);
   R.Phase = RequestPhase::Queued;
   R.StageReady = Now;
-  State.Touched.push_back(&P);
-  auto Loser = queuePush(P.Queue, makeCall(State, R, R.stage()));
-  if (!Loser)
+  State.PoolsToDispatch.push_back(&P);
+  auto Evicted = queuePush(P.Queue, makeCall(State, R, R.stage()));
+  if (!Evicted)
     return;
-  Request &Gone = State.Requests.at(*Loser);
+  Request &Gone = State.Requests.at(*Evicted);
   finishRequest(State, Gone,
                 Gone.AnyMaySent ? ResultCode::ShedBeforeStage
                                 : ResultCode::QueueFull,
                 "", Now, Out);
 }
 
-/// The first words of what an engine gets stand for its cached prefix.
+/// \return The affinity hash of a request: organisation, adapter and the first
+/// PrefixBytes of the payload, in place of the engine's cached prefix. 0 for
+/// other pools.
 static std::uint64_t affinityOf(const Pool &P, const Request &R) {
   if (P.Spec.Kind != PoolKind::Engine)
     return 0;
@@ -85,20 +88,21 @@
   return D;
 }
 
-/// Sets when an attempt counts as slow and when as lost.
-static void scheduleWakes(RouterState &State, const Request &R,
-                          const Attempt &A, TimePoint Now) {
-  State.Agenda.push({Now + std::chrono::milliseconds(R.stage().TimeoutMs),
-                     WakeKind::AttemptTimeout, R.Serial, A.Id});
+/// Starts the timers of an attempt: its timeout and, if it may be hedged, the
+/// hedge.
+static void scheduleTimers(RouterState &State, const Request &R,
+                           const Attempt &A, TimePoint Now) {
+  State.TimerQueue.push({Now + std::chrono::milliseconds(R.stage().TimeoutMs),
+                         RouterTimerKind::AttemptTimeout, R.Serial, A.Id});
   const Estimate &E = stageEstimate(State, *R.Pipeline, R.stage());
   bool MayHedge = State.Policy.Hedging && R.Pipeline->Hedge &&
-                  R.stage().Idempotent && !A.Hedge && E.Learnt;
+                  R.stage().Idempotent && !A.Hedge && E.HasData;
   if (!MayHedge)
     return;
   Duration Tail = estimateAt(E, Quantile::Tail);
   Duration Wait(static_cast<std::int64_t>(static_cast<double>(Tail.count()) *
                                           HedgeFactor));
-  State.Agenda.push({Now + Wait, WakeKind::Hedge, R.Serial, A.Id});
+  State.TimerQueue.push({Now + Wait, RouterTimerKind::Hedge, R.Serial, A.Id});
 }
 
 void sendAttempt(RouterState &State, Request &R, Pool &P, std::size_t Index,
@@ -121,14 +125,14 @@
   if (Run.Attempts++ == 0)
     Run.Queued = Now - R.StageReady;
   R.Phase = RequestPhase::Running;
-  R.Live.push_back(A.Id);
-  R.Tried.push_back(U.Id);
-  scheduleWakes(State, R, A, Now);
+  R.LiveAttempts.push_back(A.Id);
+  R.TriedUpstreams.push_back(U.Id);
+  scheduleTimers(State, R, A, Now);
   Out.push_back(makeDispatch(R, P, A, Now));
   State.Attempts.emplace(A.Id, std::move(A));
 }
 
-/// Ends a waiting request that can no longer make it.
+/// Ends a request whose remaining stages would miss its deadline.
 /// \return Whether it was ended.
 static bool shedIfHopeless(RouterState &State, Request &R, TimePoint Now,
                            RouterActions &Out) {
@@ -137,7 +141,8 @@
   Duration Rest = remainingService(State, R, Quantile::Median);
   if (Now + Rest <= R.Deadline)
     return false;
-  // The call is out of the queue; finishing must not look for it there.
+  // The call has been removed from the queue; finishRequest must not look for
+  // it there.
   R.Phase = RequestPhase::Running;
   finishRequest(State, R,
                 R.AnyMaySent ? ResultCode::ShedBeforeStage
@@ -146,30 +151,31 @@
   return true;
 }
 
-/// Sends one call that was taken out of the queue.
+/// Sends one call that was removed from the queue.
 static void sendCall(RouterState &State, Pool &P, const QueuedCall &Call,
                      TimePoint Now, RouterActions &Out) {
   Request &R = State.Requests.at(Call.Request);
   if (shedIfHopeless(State, R, Now, Out))
     return;
-  ChoiceHints Hints{affinityOf(P, R), R.Tried.empty() ? nullptr : &R.Tried};
+  ChoiceHints Hints{affinityOf(P, R),
+                    R.TriedUpstreams.empty() ? nullptr : &R.TriedUpstreams};
   auto Index = chooseUpstream(P, State.Policy, Hints, State.Rng, Now);
   if (!Index) {
-    // Only upstreams that were tried before have room.
+    // Only upstreams that were tried before have free capacity.
     Hints.Avoid = nullptr;
     Index = chooseUpstream(P, State.Policy, Hints, State.Rng, Now);
   }
   assert(Index && "the caller made sure that there is room");
-  if (R.Tried.empty())
-    retryEarn(State.Budgets[R.Input.Pipeline], R.Pipeline->RetryRatio);
+  if (R.TriedUpstreams.empty())
+    retryEarn(State.RetryBudgets[R.Input.Pipeline], R.Pipeline->RetryRatio);
   sendAttempt(State, R, P, *Index, Call, false, Now, Out);
 }
 
-void pumpTouched(RouterState &State, TimePoint Now, RouterActions &Out) {
-  // Sending may shed, and shedding may touch more pools, so look again.
-  while (!State.Touched.empty()) {
-    Pool &P = *State.Touched.back();
-    State.Touched.pop_back();
+void dispatchQueued(RouterState &State, TimePoint Now, RouterActions &Out) {
+  // Sending may shed requests, and shedding may add more pools.
+  while (!State.PoolsToDispatch.empty()) {
+    Pool &P = *State.PoolsToDispatch.back();
+    State.PoolsToDispatch.pop_back();
     while (queueSize(P.Queue) > 0 && poolHasRoom(P, State.Policy, Now)) {
       auto Call = queuePop(P.Queue);
       sendCall(State, P, *Call, Now, Out);
@@ -185,16 +191,17 @@
   const Attempt &A = Found->second;
   Request &R = State.Requests.at(A.Request);
   Pool &P = State.Pools.at(A.Pool);
-  bool Alone = R.Phase == RequestPhase::Running && R.Live.size() == 1;
-  // Once the caller has tokens of one attempt, another is of no use. Where
-  // calls wait, a hedge would take the room of somebody's first attempt.
-  if (!Alone || R.Chosen.Value != 0 || queueSize(P.Queue) > 0)
+  bool Alone = R.Phase == RequestPhase::Running && R.LiveAttempts.size() == 1;
+  // Once the caller has tokens of one attempt, another is of no use. While
+  // calls are queued, a hedge would take the capacity of another request's
+  // first attempt.
+  if (!Alone || R.StreamingAttempt.Value != 0 || queueSize(P.Queue) > 0)
     return;
   if (R.Ran.back().Attempts >= State.Policy.MaxAttempts)
     return;
-  ChoiceHints Hints{0, &R.Tried};
+  ChoiceHints Hints{0, &R.TriedUpstreams};
   auto Index = chooseUpstream(P, State.Policy, Hints, State.Rng, Now);
-  if (!Index || !retrySpend(State.Budgets[R.Input.Pipeline]))
+  if (!Index || !retrySpend(State.RetryBudgets[R.Input.Pipeline]))
     return;
   ++State.Counts.Hedges;
   sendAttempt(State, R, P, *Index, A.Call, true, Now, Out);
--- a/src/router_func.h
+++ b/src/router_func.h
@@ -1,5 +1,5 @@
-/// \file router_func.h The router's events: state, event and time in, actions
-/// out. No I/O.
+/// \file router_func.h Events of the router. Each takes the state and the time,
+/// and returns actions. No I/O.
 #ifndef FULMARSTEP_ROUTER_FUNC_H
 #define FULMARSTEP_ROUTER_FUNC_H
 
@@ -10,49 +10,52 @@
 
 namespace fulmar {
 
-/// A caller sends a request.
-/// \return Its local name. It may already have ended: then a FinishAction says
-/// so, and the name is not used any more.
+/// Handles a new request from a caller.
+/// \return Its number. The request may already have ended: then \p Out has a
+/// FinishAction for it, and no more actions refer to the number.
 RequestSerial submitRequest(RouterState &State, const RequestInput &Input,
                             TimePoint Now, RouterActions &Out);
 
-/// The ledger answers a ClaimAction.
-/// \param EarlierCode for ClaimVerdict::Completed, how the earlier one ended.
+/// Handles the ledger's decision on a ClaimAction.
+/// \param EarlierCode for ClaimVerdict::Completed, the result code of the
+/// earlier request.
 void claimAnswered(RouterState &State, RequestSerial Serial,
                    ClaimVerdict Verdict, ResultCode EarlierCode, TimePoint Now,
                    RouterActions &Out);
 
-/// The caller closed its connection.
+/// Handles a caller's disconnect.
 void callerLeft(RouterState &State, RequestSerial Serial, TimePoint Now,
                 RouterActions &Out);
 
-/// From now on, a byte of this attempt may have reached the upstream.
+/// Notes that from now on a byte of the attempt may have reached the upstream.
 void attemptSent(RouterState &State, AttemptId Id);
 
-/// A token of an attempt arrived.
+/// Handles a token received from an attempt.
 void attemptToken(RouterState &State, AttemptId Id, std::string_view Text,
                   TimePoint Now, RouterActions &Out);
 
-/// An attempt ended. Unknown attempts are counted and dropped.
+/// Handles the end of an attempt. Results of unknown attempts are counted and
+/// dropped.
 void attemptEnded(RouterState &State, AttemptId Id, const AttemptResult &Result,
                   TimePoint Now, RouterActions &Out);
 
-/// Does what has become due: deadlines, timeouts, hedges.
+/// Runs expired timers (deadlines, timeouts, hedges) and the periodic sweep.
 void routerTick(RouterState &State, TimePoint Now, RouterActions &Out);
 
-/// \return When routerTick has something to do next.
+/// \return When routerTick is to be called next.
 std::optional<TimePoint> routerNextDue(const RouterState &State);
 
-/// A bundle comes into force. Requests in progress end under their own.
+/// Activates a bundle. Requests in progress keep the bundle they began with.
 void bundleInForce(RouterState &State, BundlePtr Next, TimePoint Now,
                    RouterActions &Out);
 
-/// The host list, or the subset of it that this node uses, has changed.
+/// Applies a change of the host list, or of the subset that this node uses.
 void hostListChanged(RouterState &State, std::span<const UpstreamSpec> Listed,
                      TimePoint Now, RouterActions &Out);
 
-/// \return The local name of an organisation, given out on first use.
-OrganisationId payerOf(RouterState &State, const std::string &Organisation);
+/// \return The number of an organisation, assigned on first use.
+OrganisationId organisationIdOf(RouterState &State,
+                                const std::string &Organisation);
 
 } // namespace fulmar
 
--- a/src/router_internal.h
+++ b/src/router_internal.h
@@ -1,4 +1,4 @@
-/// \file router_internal.h Steps that the router's files share.
+/// \file router_internal.h Functions shared by the router's source files.
 #ifndef FULMARSTEP_ROUTER_INTERNAL_H
 #define FULMARSTEP_ROUTER_INTERNAL_H
 
@@ -6,34 +6,35 @@
 
 namespace fulmar {
 
-/// Ends a request: gives the answer, settles its claim, cancels what runs.
-/// \p R is gone afterwards.
+/// Ends a request: sends the response, releases or records its claim, cancels
+/// its attempts. \p R is destroyed.
 void finishRequest(RouterState &State, Request &R, ResultCode Code,
                    std::string Output, TimePoint Now, RouterActions &Out,
                    bool Deliver = true);
 
-/// Gives the caller its answer and lets the non-idempotent attempt run on.
+/// Sends the caller its response and lets the non-idempotent attempt continue.
 void detachRequest(RouterState &State, Request &R, ResultCode Code,
                    TimePoint Now, RouterActions &Out, bool Deliver);
 
-/// Makes the call that \p R queues for \p Stage.
+/// \return The call to queue for \p Stage of \p R.
 QueuedCall makeCall(RouterState &State, const Request &R,
                     const StageSpec &Stage);
 
-/// Queues the current stage of \p R; \p R may be refused and gone afterwards.
+/// Queues the current stage of \p R. If the queue evicts \p R, it is ended and
+/// destroyed.
 void enqueueStage(RouterState &State, Request &R, TimePoint Now,
                   RouterActions &Out);
 
-/// Sends waiting calls while there is room, on all touched pools.
-void pumpTouched(RouterState &State, TimePoint Now, RouterActions &Out);
+/// Sends queued calls of all PoolsToDispatch while upstreams have capacity.
+void dispatchQueued(RouterState &State, TimePoint Now, RouterActions &Out);
 
 /// Sends one attempt of the current stage to the upstream at \p Index of \p P.
 void sendAttempt(RouterState &State, Request &R, Pool &P, std::size_t Index,
                  const QueuedCall &Call, bool Hedge, TimePoint Now,
                  RouterActions &Out);
 
-/// Takes an attempt out of the books.
-/// \param Cancel whether the I/O layer is to close it.
+/// Removes an attempt from the state and updates its upstream's load.
+/// \param Cancel whether to cancel it in the I/O layer.
 Attempt closeAttempt(RouterState &State, AttemptId Id, bool Cancel,
                      TimePoint Now, RouterActions &Out);
 
@@ -41,15 +42,16 @@
 void cancelOthers(RouterState &State, Request &R, AttemptId Keep, TimePoint Now,
                   RouterActions &Out);
 
-/// Tries once more after a failed attempt, or ends the request.
+/// Retries the stage after a failed attempt, or ends the request.
 void retryOrFail(RouterState &State, Request &R, ResultCode Code,
                  const std::string &Message, TimePoint Now, RouterActions &Out);
 
-/// Sends a second attempt beside a slow one, if that is safe and affordable.
+/// Sends a second attempt beside a slow one, if the caller has no tokens yet,
+/// no calls are queued and the retry budget allows it.
 void hedgeAttempt(RouterState &State, AttemptId Id, TimePoint Now,
                   RouterActions &Out);
 
-/// Ends an attempt that took too long.
+/// Handles the timeout of an attempt.
 void attemptTimedOut(RouterState &State, AttemptId Id, TimePoint Now,
                      RouterActions &Out);
 
--- a/src/router_pool.cpp
+++ b/src/router_pool.cpp
@@ -1,4 +1,4 @@
-/// \file router_pool.cpp Bundles and host lists coming into force.
+/// \file router_pool.cpp Applies bundles and host lists to the pools.
 #include <limits>
 
 #include "fair_queue_func.h"
@@ -23,15 +23,16 @@
     U.Limit.Max = static_cast<double>(Spec.MaxLimit);
     U.Limit.Limit = std::min(U.Limit.Limit, U.Limit.Max);
   }
-  State.Touched.push_back(&P);
+  State.PoolsToDispatch.push_back(&P);
 }
 
-/// Drops what refers to parts that the bundle no longer has.
+/// Removes estimates and retry budgets of pipelines that are no longer in the
+/// bundle.
 static void forgetRemoved(RouterState &State) {
   std::erase_if(State.Estimates, [&State](const auto &Entry) {
     return !Bundle::find(State.InForce->Pipelines, Entry.first.first);
   });
-  std::erase_if(State.Budgets, [&State](const auto &Entry) {
+  std::erase_if(State.RetryBudgets, [&State](const auto &Entry) {
     return !Bundle::find(State.InForce->Pipelines, Entry.first);
   });
 }
@@ -44,10 +45,11 @@
   for (const PoolSpec &Spec : State.InForce->Pools)
     applyPool(State, Spec, State.InForce->Shares);
   forgetRemoved(State);
-  pumpTouched(State, Now, Out);
+  dispatchQueued(State, Now, Out);
 }
 
-/// \return Whether the bundle says that a failure domain gets nothing new.
+/// \return Whether the bundle marks a failure domain as drained: its upstreams
+/// get no new calls.
 static bool drained(const RouterState &State, const std::string &Domain) {
   return State.InForce && Bundle::find(State.InForce->DrainedDomains, Domain);
 }
@@ -61,9 +63,9 @@
   }
   for (auto &[Name, P] : State.Pools) {
     updateUpstreams(P, ByPool[Name], State.OwnDomain, State.LastUpstream);
-    State.Touched.push_back(&P);
+    State.PoolsToDispatch.push_back(&P);
   }
-  pumpTouched(State, Now, Out);
+  dispatchQueued(State, Now, Out);
 }
 
 } // namespace fulmar
--- a/src/router_service.cpp
+++ b/src/router_service.cpp
@@ -1,4 +1,4 @@
-/// \file router_service.cpp Carries out the router's actions.
+/// \file router_service.cpp Performs the I/O of the router.
 #include "router_service.h"
 
 #include "host_list_service.h"
@@ -11,12 +11,12 @@
 
 namespace fulmar {
 
-/// The loop shows that it runs this often.
-static constexpr Duration BeatPeriod = std::chrono::milliseconds(100);
-/// A gap of this length between two beats is a pause of the process.
-static constexpr Duration PauseGap = std::chrono::seconds(1);
-/// Attempts wait no longer than this for a fresh host list.
-static constexpr Duration HoldLimit = std::chrono::milliseconds(400);
+/// Interval of the event loop's heartbeat.
+static constexpr Duration HeartbeatPeriod = std::chrono::milliseconds(100);
+/// A longer time since the last heartbeat means that the process was paused.
+static constexpr Duration MinPause = std::chrono::seconds(1);
+/// Maximum time for which attempts wait for a refresh of the host list.
+static constexpr Duration MaxDeferral = std::chrono::milliseconds(400);
 
 template <typename Fn> void RouterService::feed(Fn Event) {
   RouterActions Out;
@@ -37,13 +37,13 @@
   Client = &Services.find<HttpClientService>(service::Http).Client;
   Claims = &Services.find<LedgerService>(service::Ledger);
   Hosts = &Services.find<HostListService>(service::Hosts);
-  LastBeat = now();
-  Timers->every(BeatPeriod, [this] { LastBeat = now(); });
+  LastHeartbeat = now();
+  Timers->every(HeartbeatPeriod, [this] { LastHeartbeat = now(); });
   arm();
 }
 
 void RouterService::stop() {
-  Timers->cancel(Wake);
+  Timers->cancel(TickTimer);
   for (auto &[Id, Call] : Calls)
     Call->cancel();
   Calls.clear();
@@ -74,7 +74,7 @@
 void RouterService::bundle(BundlePtr Next) {
   RouterActions Out;
   bundleInForce(State, std::move(Next), now(), Out);
-  // Pools that the bundle brought have not seen the host list yet.
+  // The host list has not been applied to new pools yet.
   hostListChanged(State, Listed, now(), Out);
   perform(std::move(Out));
 }
@@ -86,8 +86,8 @@
 
 void RouterService::refuseNew() { State.Draining = true; }
 
-/// Carries actions out in order. What an action causes at once, such as a
-/// caller whose connection breaks under an answer, comes after them.
+/// Performs actions in order. Actions that one of them causes synchronously, as
+/// when a caller's connection breaks on a response, are performed after them.
 void RouterService::perform(RouterActions Actions) {
   for (RouterAction &Action : Actions)
     Pending.push_back(std::move(Action));
@@ -105,51 +105,52 @@
 
 void RouterService::arm() {
   auto Due = routerNextDue(State);
-  if (!Due || (Wake.Value != 0 && *Due == WakeAt))
+  if (!Due || (TickTimer.Value != 0 && *Due == TickAt))
     return;
-  Timers->cancel(Wake);
-  WakeAt = *Due;
+  Timers->cancel(TickTimer);
+  TickAt = *Due;
   Duration Delay = std::max(Duration::zero(), *Due - now());
-  Wake = Timers->after(Delay, [this] {
-    Wake = TimerId{};
+  TickTimer = Timers->after(Delay, [this] {
+    TickTimer = TimerId{};
     feed([&](RouterActions &Out) { routerTick(State, now(), Out); });
   });
 }
 
-/// Keeps an attempt back when this process has just been paused. What it knows
-/// of upstreams is as old as the pause: one of them may have been leaving for
-/// minutes. It would show as new work there long after the mark.
-/// \return Whether the attempt waits.
-bool RouterService::holdBack(const DispatchAction &Action) {
-  if (!Holding && now() - LastBeat > PauseGap) {
-    Holding = true;
+/// Defers an attempt until the host list is refreshed when this process has
+/// just resumed from a pause. Its host list is as old as the pause: an upstream
+/// may have been leaving for minutes, and would get new work long after it was
+/// marked as leaving.
+/// \return Whether the attempt is deferred.
+bool RouterService::deferAfterPause(const DispatchAction &Action) {
+  if (!Deferring && now() - LastHeartbeat > MinPause) {
+    Deferring = true;
     logEvent(LogLevel::Warning, "process_was_paused",
-             {{"ms", toMs(now() - LastBeat)}});
-    Hosts->refresh([this] { endHold(); });
-    Timers->after(HoldLimit, [this] { endHold(); });
+             {{"ms", toMs(now() - LastHeartbeat)}});
+    Hosts->refresh([this] { resumeDeferred(); });
+    Timers->after(MaxDeferral, [this] { resumeDeferred(); });
   }
-  if (Holding)
-    Held.push_back(Action);
-  return Holding;
+  if (Deferring)
+    Deferred.push_back(Action);
+  return Deferring;
 }
 
-void RouterService::endHold() {
-  if (!Holding)
+void RouterService::resumeDeferred() {
+  if (!Deferring)
     return;
-  Holding = false;
+  Deferring = false;
   std::vector<DispatchAction> Waiting;
-  Waiting.swap(Held);
+  Waiting.swap(Deferred);
   for (DispatchAction &Action : Waiting) {
     auto Found = State.Attempts.find(Action.Attempt);
     if (Found == State.Attempts.end())
-      continue; // Given up meanwhile.
+      continue; // Cancelled in the meantime.
     Pool &P = State.Pools.at(Found->second.Pool);
     const Upstream *U = upstreamById(P, Found->second.Upstream);
     if (U && U->Listed && !U->Leaving) {
       sendNow(Action);
       continue;
     }
-    // No byte was sent, so it may be tried elsewhere.
+    // No byte was sent, so it may be retried at another upstream.
     AttemptResult Result;
     Result.End = AttemptEnd::ConnectFailed;
     Result.Message = "leaving";
@@ -160,7 +161,7 @@
 }
 
 void RouterService::carryOut(DispatchAction &Action) {
-  if (!holdBack(Action))
+  if (!deferAfterPause(Action))
     sendNow(Action);
 }
 
--- a/src/router_service.h
+++ b/src/router_service.h
@@ -1,4 +1,4 @@
-/// \file router_service.h Carries out the router's actions.
+/// \file router_service.h Performs the I/O of the router.
 #ifndef FULMARSTEP_ROUTER_SERVICE_H
 #define FULMARSTEP_ROUTER_SERVICE_H
 
@@ -16,17 +16,17 @@
 class LedgerService;
 class HostListService;
 
-/// Who gets the answer to a request.
+/// Receives the response to a request.
 class RequestSink {
 public:
   virtual ~RequestSink() = default;
-  /// A token, in order.
+  /// Receives the next token.
   virtual void token(std::string_view Text) = 0;
-  /// The end. Called once, and not after the caller left.
+  /// Receives the result. Called once, and not after the caller disconnected.
   virtual void finished(const RequestReport &Report) = 0;
 };
 
-/// The router with its I/O.
+/// The router with its upstream, caller and timer I/O.
 class RouterService : public Service {
 public:
   /// \param K finds the other services, once all are registered.
@@ -36,30 +36,30 @@
   void start() override;
   void stop() override;
 
-  /// Takes a request in. \p Sink may be called before this returns.
+  /// Submits a request. \p Sink may be called before this returns.
   RequestSerial submit(const RequestInput &Input,
                        std::shared_ptr<RequestSink> Sink);
-  /// The caller of \p Serial closed its connection.
+  /// Handles the disconnect of the caller of \p Serial.
   void left(RequestSerial Serial);
-  /// The ledger decided on a claim.
+  /// Handles the ledger's decision on a claim.
   void claimDecided(RequestSerial Serial, ClaimVerdict Verdict,
                     ResultCode EarlierCode);
-  /// A bundle comes into force.
+  /// Activates a bundle.
   void bundle(BundlePtr Next);
-  /// The upstreams that this node uses have changed.
+  /// Sets the upstreams that this node uses.
   void upstreams(std::vector<UpstreamSpec> Listed);
-  /// From now on new requests are refused.
+  /// Starts refusing new requests.
   void refuseNew();
 
   /// \return The state, for status pages and metrics.
   const RouterState &state() const { return State; }
-  /// \return The state, for the demand service to set shares of limits in.
+  /// \return The state, for the demand service to set shares of rate limits.
   RouterState &mutableState() { return State; }
-  /// \return What was counted.
+  /// \return Metrics of finished requests.
   const Metrics &metrics() const { return Counted; }
 
 private:
-  /// Hands the router one event and carries out what it asks for.
+  /// Runs one router event and performs the resulting actions.
   template <typename Fn> void feed(Fn Event);
   void perform(RouterActions Actions);
   void carryOut(DispatchAction &Action);
@@ -71,29 +71,29 @@
   void carryOut(RecordAction &Action);
   void arm();
   TimePoint now() const;
-  bool holdBack(const DispatchAction &Action);
-  void endHold();
+  bool deferAfterPause(const DispatchAction &Action);
+  void resumeDeferred();
   void sendNow(DispatchAction &Action);
 
-  Kernel &Services;                 ///< Finds the others.
-  TimerService *Timers = nullptr;   ///< Time.
+  Kernel &Services;                 ///< Finds the other services.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
   HttpClient *Client = nullptr;     ///< Calls upstreams.
-  LedgerService *Claims = nullptr;  ///< Decides on claims.
-  HostListService *Hosts = nullptr; ///< Reads the host list.
-  RouterState State;                ///< Decides.
-  Metrics Counted;                  ///< Counts.
-  std::unordered_map<RequestSerial, std::shared_ptr<RequestSink>>
-      Sinks; ///< By
-             ///< request.
-  std::unordered_map<AttemptId, std::shared_ptr<UpstreamCall>> Calls; ///< Live.
-  std::deque<RouterAction> Pending; ///< Actions still to be carried out.
-  bool Performing = false;          ///< Actions are being carried out.
-  TimerId Wake;                     ///< For the router's next due time.
-  TimePoint WakeAt{};               ///< When that is.
-  std::vector<UpstreamSpec> Listed; ///< As last given.
-  TimePoint LastBeat{};             ///< When the loop was last seen to run.
-  bool Holding = false;             ///< Attempts wait for a fresh host list.
-  std::vector<DispatchAction> Held; ///< Those that do.
+  LedgerService *Claims = nullptr;  ///< The ledger of claims.
+  HostListService *Hosts = nullptr; ///< Refreshes the host list.
+  RouterState State;                ///< State.
+  Metrics Counted;                  ///< Metrics of finished requests.
+  /// Receivers of responses, by request.
+  std::unordered_map<RequestSerial, std::shared_ptr<RequestSink>> Sinks;
+  std::unordered_map<AttemptId, std::shared_ptr<UpstreamCall>>
+      Calls;                        ///< Calls in progress.
+  std::deque<RouterAction> Pending; ///< Actions still to be performed.
+  bool Performing = false;          ///< perform is running.
+  TimerId TickTimer;                ///< Timer for the next routerTick.
+  TimePoint TickAt{};               ///< When TickTimer expires.
+  std::vector<UpstreamSpec> Listed; ///< Upstreams as last set.
+  TimePoint LastHeartbeat{}; ///< When the event loop last ran the heartbeat.
+  bool Deferring = false;    ///< Attempts wait for a refresh of the host list.
+  std::vector<DispatchAction> Deferred; ///< Attempts that wait for it.
 };
 
 } // namespace fulmar
--- a/tests/test_router.cpp
+++ b/tests/test_router.cpp
@@ -1,4 +1,4 @@
-// The router's promises, each with the story of its failure.
+// The router's guarantees, with the failures that the tests guard against.
 #include "bench/demo.h"
 #include "bench/history_func.h"
 #include "bench/policy_func.h"
@@ -34,9 +34,9 @@
                                           Wrong);
     REQUIRE(Wrong.empty());
     bundleInForce(S, buildBundle(Items, 3), Now, Out);
-    hosts(false);
+    setUpstreams(false);
   }
-  void hosts(bool Leaving) {
+  void setUpstreams(bool Leaving) {
     std::vector<UpstreamSpec> Listed = {{"a:1", "enc", "fd1", Leaving},
                                         {"a:2", "enc", "fd2", false},
                                         {"b:1", "svc", "fd1", false},
@@ -75,7 +75,7 @@
     claimAnswered(S, Serial, ClaimVerdict::Granted, ResultCode::Invalid, Now,
                   Out);
   }
-  void pass(Duration D) {
+  void advance(Duration D) {
     TimePoint End = Now + D;
     while (auto Due = routerNextDue(S)) {
       if (*Due > End)
@@ -85,8 +85,8 @@
     }
     Now = End;
   }
-  /// Runs a "tag" request up to its non-idempotent stage, bytes sent.
-  void reachEffect() {
+  /// Runs a "tag" request until bytes of its non-idempotent stage are sent.
+  void reachNonIdempotentStage() {
     submit("tag");
     grant();
     attemptSent(S, lastDispatch().Attempt);
@@ -112,30 +112,31 @@
   submit("tag");
   CHECK(all<DispatchAction>().empty());
   CHECK(all<ClaimAction>().size() == 1);
-  SECTION("granted: it is sent") {
+  SECTION("granted: the first stage is sent") {
     grant();
     CHECK(all<DispatchAction>().size() == 1);
   }
-  SECTION("claimed before: refused, and the other's claim is left alone") {
+  SECTION("claimed before: refused, and the other claim is not released") {
     claimAnswered(S, Serial, ClaimVerdict::InProgress, ResultCode::Invalid, Now,
                   Out);
     CHECK(code() == 4001);
     CHECK(all<ReleaseAction>().empty());
   }
-  SECTION("completed before: told so") {
+  SECTION("completed before: refused as completed earlier") {
     claimAnswered(S, Serial, ClaimVerdict::Completed, ResultCode::Complete, Now,
                   Out);
     CHECK(code() == 1001);
   }
-  SECTION("no verdict until the deadline: not run, and given back") {
-    pass(5s);
+  SECTION("no verdict until the deadline: not run, and released") {
+    advance(5s);
     CHECK(code() == 2030);
     CHECK(all<ReleaseAction>().size() == 1);
   }
   SECTION("a verdict that a paused process reads after the deadline") {
-    // Symptom: a tag is booked minutes after its caller gave up and repeated
-    // it. Sequence: claim granted, process paused for a minute, process goes
-    // on with the grant first. Cause: a grant taken as if it were fresh.
+    // Symptom: a non-idempotent stage runs minutes after the caller gave up and
+    // repeated the request. Sequence: claim granted, process paused for a
+    // minute, process resumes and handles the grant first. Cause: the deadline
+    // is not checked when a grant arrives.
     Now += 1min;
     grant();
     CHECK(all<DispatchAction>().empty());
@@ -145,11 +146,12 @@
   }
 }
 
-TEST_CASE_METHOD(RouterFixture, "a non-idempotent call loses its answer") {
-  // Symptom: a posting stands twice. Sequence: the service books it, the
-  // connection breaks, the call is sent again. Cause: retrying what may have
-  // run.
-  reachEffect();
+TEST_CASE_METHOD(RouterFixture,
+                 "the response to a non-idempotent call is lost") {
+  // Symptom: a posting is booked twice. Sequence: the service books it, the
+  // connection breaks, the call is sent again. Cause: a retry of a call that
+  // may have run.
+  reachNonIdempotentStage();
   std::size_t Sent = all<DispatchAction>().size();
   SECTION("cut: the outcome is unknown, and nothing is sent again") {
     end(AttemptEnd::Cut);
@@ -157,12 +159,12 @@
     CHECK(all<DispatchAction>().size() == Sent);
     CHECK(all<RecordAction>().back().Code == ResultCode::OutcomeUnknown);
   }
-  SECTION("an error says nothing about whether it ran") {
+  SECTION("error: the outcome is unknown") {
     end(AttemptEnd::Error);
     CHECK(code() == 4000);
   }
-  SECTION("too slow: the caller hears at once, the call is left to end") {
-    pass(1500ms);
+  SECTION("timeout: the caller gets a response, the call continues") {
+    advance(1500ms);
     CHECK(code() == 4000);
     CHECK(all<CancelAction>().empty());
     CHECK(all<RecordAction>().empty());
@@ -171,7 +173,7 @@
     CHECK(all<RecordAction>().back().Code == ResultCode::Complete);
     CHECK(S.Requests.empty());
   }
-  SECTION("the caller leaves: the call is left to end and is recorded") {
+  SECTION("the caller disconnects: the call continues and is recorded") {
     callerLeft(S, Serial, Now, Out);
     CHECK(all<CancelAction>().empty());
     end(AttemptEnd::Answered, "done");
@@ -192,27 +194,28 @@
   CHECK(lastDispatch().Address != First);
 }
 
-TEST_CASE_METHOD(RouterFixture, "not run is said only while no byte is out") {
+TEST_CASE_METHOD(RouterFixture,
+                 "not run is reported only while no byte was sent") {
   submit("ask");
   SECTION("all connections refused: not run") {
     for (int I = 0; I < 3 && code() == 0; ++I)
       end(AttemptEnd::ConnectFailed);
     CHECK(code() == 2024);
   }
-  SECTION("one byte sent, then refused: no longer not run") {
+  SECTION("one byte sent, then connections refused: failed, not \"not run\"") {
     attemptSent(S, lastDispatch().Attempt);
     end(AttemptEnd::Cut);
     for (int I = 0; I < 3 && code() == 0; ++I)
       end(AttemptEnd::ConnectFailed);
     CHECK(code() / 1000 == 3);
   }
-  SECTION("the deadline while it runs") {
+  SECTION("the deadline passes while it runs") {
     attemptSent(S, lastDispatch().Attempt);
-    pass(5s);
+    advance(5s);
     CHECK(code() / 1000 == 3);
     CHECK_FALSE(all<CancelAction>().empty());
   }
-  SECTION("the caller leaves before a byte is out, and after") {
+  SECTION("the caller disconnects before and after a byte is sent") {
     bool Sent = GENERATE(false, true);
     if (Sent)
       attemptSent(S, lastDispatch().Attempt);
@@ -222,14 +225,14 @@
   }
 }
 
-TEST_CASE_METHOD(RouterFixture, "late, repeated and foreign answers") {
-  // Symptom: a caller gets another's answer. Sequence: an attempt is given up,
-  // the next one is sent, the first one's answer comes. Cause: matching
-  // answers by request alone.
+TEST_CASE_METHOD(RouterFixture, "late and duplicate responses") {
+  // Symptom: a caller gets the response of another attempt. Sequence: an
+  // attempt times out, the next one is sent, the response to the first one
+  // arrives. Cause: responses are matched by request alone.
   submit("ask");
   AttemptId First = lastDispatch().Attempt;
   attemptSent(S, First);
-  pass(1100ms);
+  advance(1100ms);
   AttemptId Second = lastDispatch().Attempt;
   REQUIRE(First != Second);
   AttemptResult Late;
@@ -248,7 +251,7 @@
 TEST_CASE_METHOD(RouterFixture, "an upstream that is leaving gets nothing "
                                 "new, and what it has may end") {
   submit("ask", "one");
-  hosts(true);
+  setUpstreams(true);
   for (int I = 0; I < 6; ++I)
     submit("ask", "id" + std::to_string(I));
   for (const DispatchAction &D : all<DispatchAction>())
@@ -261,11 +264,11 @@
     submit("nope");
     CHECK(code() == 2001);
   }
-  SECTION("organisation that may not") {
+  SECTION("organisation without access to the pipeline") {
     submit("tag", "id", "slow");
     CHECK(code() == 2002);
   }
-  SECTION("no key for a non-idempotent pipeline") {
+  SECTION("no idempotency key for a non-idempotent pipeline") {
     RequestInput Input;
     Input.Organisation = "o";
     Input.Pipeline = "tag";
@@ -277,22 +280,22 @@
       submit("ask", std::to_string(I), "slow");
     CHECK(code() == 2022);
     Out.clear();
-    pass(1100ms);
+    advance(1100ms);
     submit("ask", "later", "slow");
     CHECK(code() == 0);
   }
-  SECTION("while stopping") {
+  SECTION("while draining") {
     S.Draining = true;
     submit("ask");
     CHECK(code() == 2011);
   }
-  SECTION("a full queue, without end") {
+  SECTION("full queue") {
     for (int I = 0; I < 40; ++I)
       submit("ask", std::to_string(I));
     CHECK(code() == 2021);
     CHECK(S.Requests.size() == 12);
   }
-  SECTION("a pool that nobody is in") {
+  SECTION("pool without upstreams") {
     hostListChanged(S, {}, Now, Out);
     submit("ask");
     CHECK(code() == 2024);
@@ -324,9 +327,10 @@
   Serial = submitRequest(S, Input, Now, Out);
   AttemptId First = lastDispatch().Attempt;
   attemptSent(S, First);
-  // A second attempt runs beside it; whoever has the first token is it.
-  S.Agenda.push({Now + 10ms, WakeKind::Hedge, Serial, First});
-  pass(20ms);
+  // A hedge runs beside the first attempt; the one with the first token is
+  // streamed.
+  S.TimerQueue.push({Now + 10ms, RouterTimerKind::Hedge, Serial, First});
+  advance(20ms);
   AttemptId Second = lastDispatch().Attempt;
   REQUIRE(Second != First);
   attemptToken(S, Second, "b", Now, Out);
@@ -337,7 +341,7 @@
     Text += T.Text;
   CHECK(Text == "bc");
   CHECK(S.Counts.Late == 1);
-  SECTION("and a stream that is cut is not continued by another") {
+  SECTION("a cut stream is not continued by another attempt") {
     std::size_t Sent = all<DispatchAction>().size();
     AttemptResult Cut;
     Cut.End = AttemptEnd::Cut;
@@ -353,9 +357,9 @@
 }
 
 SCENARIO("a whole pool fails") {
-  // Symptom: a failing pool is hit by many times its load. Sequence: each call
-  // fails, each is tried again, and so are callers' repeats. Cause: retries
-  // without a budget.
+  // Symptom: a failing pool gets many times its load. Sequence: each call fails
+  // and is retried, and so are the callers' own retries. Cause: retries without
+  // a budget.
   PolicyPlan Plan =
       scenarioPlan("dead-pool", exampleBundle("avstamning-bundle.json"), 5);
   Plan.Length = 12s;
@@ -371,20 +375,20 @@
   PolicyPlan Plan = scenarioPlan("load-2", B, 5);
   Plan.Length = 10s;
   PolicyResult R = runPolicy(Plan);
-  THEN("what is served at twice the capacity is what the capacity can do") {
+  THEN("goodput at twice the capacity is close to the capacity") {
     CHECK(R.Goodput > 0.9);
     CHECK(R.WastedShare < 0.05);
     CHECK(R.Broken.total() == 0);
   }
 }
 
-SCENARIO("a burst that the deadlines leave room for") {
-  // Symptom: at dawn callers are refused although their answers could have been
-  // on time. Cause: a queue bounded by a count of calls, one second's worth.
+SCENARIO("a burst that can be served within the deadlines") {
+  // Symptom: during the morning burst requests are refused although they could
+  // have completed in time. Cause: a queue limit in calls, worth one second.
   PolicyPlan Plan =
       scenarioPlan("dawn", exampleBundle("avstamning-bundle.json"), 5);
   PolicyResult R = runPolicy(Plan);
-  THEN("it is served whole") {
+  THEN("all of it is served") {
     CHECK(R.OnTime > 0.99);
     CHECK(R.Broken.total() == 0);
   }
@@ -395,13 +399,13 @@
       scenarioPlan("takeover-wave", exampleBundle("avstamning-bundle.json"), 5);
   Plan.Length = 10s;
   PolicyResult R = runPolicy(Plan);
-  THEN("the old ones are served as before") {
+  THEN("established organisations are served as before") {
     CHECK(R.OnTimeEstablished > 0.98);
     CHECK(R.Broken.total() == 0);
   }
 }
 
-TEST_CASE("whatever fails, the promises hold (property)") {
+TEST_CASE("the guarantees hold under random faults (property)") {
   BundlePtr Under = exampleBundle("turno-certo-bundle.json");
   CHECK(rc::check("history is good", [&](std::uint64_t Seed) {
     Random Rng(Seed);
