--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -1,4 +1,4 @@
-/// \file ledger.cpp The side of the ledger that asks.
+/// \file ledger.cpp Requesting side of the ledger: operations of this node.
 #include "ledger_func.h"
 
 #include <algorithm>
@@ -8,7 +8,8 @@
 
 namespace fulmar {
 
-/// After this silence of the usual writer a node writes itself.
+/// Timeout of the preferred writer, after which a node commits an operation
+/// itself.
 static constexpr Duration FallbackTime = std::chrono::milliseconds(250);
 
 Hash128 ledgerKey(std::string_view Organisation, std::string_view RequestId) {
@@ -31,7 +32,7 @@
   return L;
 }
 
-std::string usualWriter(const Ledger &L, ShardId Shard) {
+std::string preferredWriter(const Ledger &L, ShardId Shard) {
   std::string Best = L.Self;
   std::uint64_t BestWeight = rendezvousWeight(Shard.Value, L.Self);
   for (const std::string &Node : L.Nodes) {
@@ -56,12 +57,12 @@
   return Op;
 }
 
-/// Puts an operation into this node's own queue.
+/// Queues an operation for a commit by this node.
 static void enqueueOwn(Ledger &L, LocalOp &Local, TimePoint Now, WallMs Wall,
                        LedgerActions &Out) {
-  Local.AtSelf = true;
-  // Releases and records are kept until they are committed or the ledger would
-  // have forgotten the id anyway.
+  Local.QueuedHere = true;
+  // Releases and records are kept until they are committed, or the entry would
+  // have expired anyway.
   bool Claim = Local.Op.State == LedgerState::Claimed;
   TimePoint Expires =
       Claim ? Local.Deadline : Now + std::chrono::milliseconds(L.RetentionMs);
@@ -69,15 +70,15 @@
                Wall, Out);
 }
 
-/// Starts an operation of this node.
+/// Starts an operation requested by this node.
 static void startLocal(Ledger &L, LocalOp Local, TimePoint Now, WallMs Wall,
                        LedgerActions &Out) {
   LocalOpKey Key{Local.Op.Nonce, Local.Op.State};
-  std::string Writer = usualWriter(L, shardOf(Local.Op.Key));
+  std::string Writer = preferredWriter(L, shardOf(Local.Op.Key));
   LocalOp &Kept = L.Local.emplace(Key, std::move(Local)).first->second;
   if (Writer == L.Self)
     return enqueueOwn(L, Kept, Now, Wall, Out);
-  Kept.AtPeer = true;
+  Kept.SentToPeer = true;
   Kept.FallbackAt = Now + FallbackTime;
   Out.push_back(SendOpAction{Writer, Kept.Op});
 }
@@ -86,9 +87,9 @@
                  TimePoint Deadline, TimePoint Now, WallMs Wall,
                  LedgerActions &Out) {
   if (L.Releasing.count(Key)) {
-    // An earlier try with this id was told that it was not run, and its claim
-    // may stand in the ledger. To ask now would find that claim, and the
-    // caller would hear that its request is running, which it is not.
+    // The caller of an earlier attempt with this id was told that it was not
+    // run, but its claim may still stand in the ledger. A claim now would find
+    // it and report the request as in progress, which it is not.
     Out.push_back(ClaimDecidedAction{Request, ClaimVerdict::Releasing});
     return;
   }
@@ -100,10 +101,10 @@
   startLocal(L, std::move(Local), Now, Wall, Out);
 }
 
-/// \return Whether a claim cannot have reached the ledger, so that there is
-/// nothing to release.
+/// \return Whether a claim cannot have been written to the store, so that there
+/// is nothing to release.
 static bool neverAttempted(Ledger &L, const LocalOp &Claim) {
-  if (Claim.AtPeer || !Claim.AtSelf)
+  if (Claim.SentToPeer || !Claim.QueuedHere)
     return false;
   LedgerShard &Shard = L.Shards[shardOf(Claim.Op.Key).Value];
   for (const PendingOp &Op : Shard.Queue) {
@@ -172,10 +173,10 @@
   return ClaimVerdict::Unavailable;
 }
 
-void decideLocal(Ledger &L, const LedgerResult &Result, LedgerActions &Out) {
+void completeLocal(Ledger &L, const LedgerResult &Result, LedgerActions &Out) {
   auto Found = L.Local.find({Result.Nonce, Result.Wanted});
   if (Found == L.Local.end())
-    return; // Decided by the other of peer and self, or given up.
+    return; // Already decided by the peer or locally, or released.
   LocalOp Local = std::move(Found->second);
   L.Local.erase(Found);
   dropQueued(L, Local.Op);
@@ -187,7 +188,7 @@
   if (Local.Op.State != LedgerState::Claimed)
     return;
   ClaimVerdict Verdict = claimVerdict(Result.Verdict);
-  // Another's claim stands: there is nothing of ours to release.
+  // The claim of another attempt stands: there is nothing to release.
   if (Verdict == ClaimVerdict::InProgress || Verdict == ClaimVerdict::Completed)
     L.Nonces.erase(Local.Request);
   Out.push_back(ClaimDecidedAction{Local.Request, Verdict, Result.Code});
@@ -195,32 +196,32 @@
 
 void ledgerPeerResult(Ledger &L, const LedgerResult &Result, TimePoint,
                       LedgerActions &Out) {
-  decideLocal(L, Result, Out);
+  completeLocal(L, Result, Out);
 }
 
-/// Takes over operations whose usual writer is silent.
-static void fallBack(Ledger &L, TimePoint Now, WallMs Wall,
-                     LedgerActions &Out) {
-  // Found first, then taken over: taking one over can decide it, and others,
-  // which removes them from the map.
+/// Takes over operations whose preferred writer timed out.
+static void takeOverSilent(Ledger &L, TimePoint Now, WallMs Wall,
+                           LedgerActions &Out) {
+  // Taking an operation over can decide it and others, which removes them from
+  // the map, so the keys are collected first.
   std::vector<LocalOpKey> Silent;
   for (const auto &[Key, Local] : L.Local) {
-    if (!Local.AtSelf && Local.FallbackAt <= Now)
+    if (!Local.QueuedHere && Local.FallbackAt <= Now)
       Silent.push_back(Key);
   }
   for (const LocalOpKey &Key : Silent) {
     auto Found = L.Local.find(Key);
     if (Found == L.Local.end())
       continue;
-    // The peer may still commit it; the nonce makes the second commit find the
-    // first, so that doing it twice is harmless.
+    // The peer may still commit it. By the nonce the second commit recognises
+    // the first, so that committing it twice is harmless.
     ++L.Counts.Fallbacks;
     enqueueOwn(L, Found->second, Now, Wall, Out);
   }
 }
 
 void ledgerTick(Ledger &L, TimePoint Now, WallMs Wall, LedgerActions &Out) {
-  fallBack(L, Now, Wall, Out);
+  takeOverSilent(L, Now, Wall, Out);
   for (LedgerShard &Shard : L.Shards)
     shardAdvance(L, Shard, Now, Wall, Out);
 }
@@ -232,7 +233,7 @@
       Due = At;
   };
   for (const auto &[Key, Local] : L.Local) {
-    if (!Local.AtSelf)
+    if (!Local.QueuedHere)
       Consider(Local.FallbackAt);
   }
   for (const LedgerShard &Shard : L.Shards) {
--- a/src/ledger_base.h
+++ b/src/ledger_base.h
@@ -14,140 +14,151 @@
 
 namespace fulmar {
 
-/// What a shard's writer is waiting for.
+/// What the writer of a shard is waiting for.
 enum class ShardPhase {
-  Idle,           ///< Nothing.
-  ReadingHead,    ///< The head record.
-  ReadingSegment, ///< A segment that it has not cached.
-  WritingSegment, ///< Room in the head.
-  WritingHead,    ///< The commit.
+  Idle,           ///< No call to the store.
+  ReadingHead,    ///< A read of the head record.
+  ReadingSegment, ///< A read of a segment that is not cached.
+  WritingSegment, ///< A write of a new segment, to empty the head.
+  WritingHead,    ///< A compare-and-swap of the head: the commit.
   Count,          ///< Number of phases.
   Invalid,        ///< Not a phase.
 };
 
 /// An operation that waits for its shard's next commit.
 struct PendingOp {
-  LedgerEntry Op;         ///< What is wanted.
-  std::string Origin;     ///< Node that asks; empty: this one.
-  TimePoint Expires{};    ///< When the answer is of no more use.
-  bool Attempted = false; ///< Was part of a write that may have taken effect.
+  LedgerEntry Op;         ///< Requested state.
+  std::string Origin;     ///< Requesting node; empty: this one.
+  TimePoint Expires{};    ///< When the result is no longer needed.
+  bool Attempted = false; ///< Part of a write that may have taken effect.
 };
 
-/// What this node knows of a shard, as its writer.
+/// A shard as seen by this node as its writer.
 struct LedgerShard {
-  ShardId Id;                          ///< Which.
-  ShardPhase Phase = ShardPhase::Idle; ///< What it waits for.
-  bool HeadKnown = false;              ///< The two below are as last read.
-  bool ReadForOps = false; ///< The read under way began after all operations
-                           ///< in the queue had come.
-  bool HeadFresh = false;  ///< The head was read for what is in the queue.
-  std::uint64_t HeadIndex = 0; ///< Index to compare with.
-  LedgerHead Head;             ///< Contents.
-  std::map<std::uint64_t, std::vector<LedgerEntry>> Segments; ///< By name.
-  std::vector<PendingOp> Queue;         ///< For the next commit.
-  std::vector<PendingOp> InWrite;       ///< In the commit under way.
-  std::vector<LedgerResult> Results;    ///< Of InWrite, once committed.
-  LedgerHead NextHead;                  ///< What the commit writes.
-  std::optional<SegmentRef> NewSegment; ///< Written for this commit.
-  std::uint64_t AwaitedSegment = 0;     ///< Being read.
-  TimePoint CommitAfter{};              ///< Operations are gathered until then.
-  TimePoint RetryAfter{}; ///< The service failed; wait until then.
-  int FailuresInRow = 0;  ///< For the back-off.
-  double WriteTokens = 0; ///< Writes that may be made now.
-  TimePoint TokensAt{};   ///< When that was brought up to date.
+  ShardId Id;                          ///< Id.
+  ShardPhase Phase = ShardPhase::Idle; ///< What it is waiting for.
+  bool HeadKnown = false; ///< HeadIndex and Head are current as last read.
+  bool ReadCoversQueue = false; ///< The read in progress began after all
+                                ///< operations in the queue had arrived.
+  bool HeadCoversQueue = false; ///< The head was read after all operations in
+                                ///< the queue had arrived.
+  std::uint64_t HeadIndex = 0;  ///< Store index for the compare-and-swap.
+  LedgerHead Head;              ///< Contents as last read.
+  std::map<std::uint64_t, std::vector<LedgerEntry>>
+      Segments;                   ///< Cached, by name.
+  std::vector<PendingOp> Queue;   ///< Operations for the next commit.
+  std::vector<PendingOp> InWrite; ///< Operations in the current commit.
+  std::vector<LedgerResult>
+      Results;         ///< Results of InWrite, sent once committed.
+  LedgerHead NextHead; ///< Head that the current commit writes.
+  std::optional<SegmentRef>
+      NewSegment;                   ///< Segment written for the next commit.
+  std::uint64_t AwaitedSegment = 0; ///< Name of the segment being read.
+  TimePoint CommitAfter{};          ///< Operations are batched until then.
+  TimePoint RetryAfter{}; ///< End of the backoff after a store failure.
+  int FailuresInRow = 0;  ///< Consecutive store failures, for the backoff.
+  double WriteTokens = 0; ///< Token bucket of writes.
+  TimePoint LastRefill{}; ///< When WriteTokens was last updated.
 };
 
-/// An operation of this node, until it is decided.
+/// An operation requested by this node, until it is decided.
 struct LocalOp {
-  LedgerEntry Op;         ///< What is wanted.
-  RequestSerial Request;  ///< For whom; for claims.
-  TimePoint Deadline{};   ///< For claims: when to give up.
-  TimePoint FallbackAt{}; ///< When this node writes itself.
-  bool AtPeer = false;    ///< Sent to another node.
-  bool AtSelf = false;    ///< In this node's own queue.
+  LedgerEntry Op;          ///< Requested state.
+  RequestSerial Request;   ///< For claims: the request.
+  TimePoint Deadline{};    ///< For claims: when to give up.
+  TimePoint FallbackAt{};  ///< When this node commits it itself.
+  bool SentToPeer = false; ///< Sent to the preferred writer.
+  bool QueuedHere = false; ///< In this node's own shard queue.
 };
 
 /// Read the head record of a shard.
 struct ReadHeadAction {
-  ShardId Shard; ///< Which.
+  ShardId Shard; ///< Shard.
 };
 /// Read a segment.
 struct ReadSegmentAction {
-  ShardId Shard;          ///< Of which shard.
-  std::uint64_t Name = 0; ///< Which.
+  ShardId Shard;          ///< Shard.
+  std::uint64_t Name = 0; ///< Name of the segment.
 };
 /// Write the head record if it is unchanged.
 struct WriteHeadAction {
-  ShardId Shard;           ///< Which.
-  LedgerHead Head;         ///< Contents.
-  std::uint64_t Index = 0; ///< To compare with.
+  ShardId Shard;           ///< Shard.
+  LedgerHead Head;         ///< New contents.
+  std::uint64_t Index = 0; ///< Store index that the record must still have.
 };
 /// Write a new segment.
 struct WriteSegmentAction {
-  ShardId Shard;                    ///< Of which shard.
-  std::uint64_t Name = 0;           ///< Which.
+  ShardId Shard;                    ///< Shard.
+  std::uint64_t Name = 0;           ///< Name of the segment.
   std::vector<LedgerEntry> Entries; ///< Contents.
 };
-/// Remove a segment that no head refers to.
+/// Remove a segment that the head does not refer to.
 struct RemoveSegmentAction {
-  ShardId Shard;          ///< Of which shard.
-  std::uint64_t Name = 0; ///< Which.
+  ShardId Shard;          ///< Shard.
+  std::uint64_t Name = 0; ///< Name of the segment.
 };
-/// Ask a shard's usual writer.
+/// Send an operation to the preferred writer of its shard.
 struct SendOpAction {
-  std::string Node; ///< Whom.
-  LedgerEntry Op;   ///< What is wanted.
+  std::string Node; ///< Receiver.
+  LedgerEntry Op;   ///< Requested state.
 };
-/// Answer a node that asked.
+/// Send the result of an operation to the node that requested it.
 struct SendResultAction {
-  std::string Node;    ///< Whom.
-  LedgerResult Result; ///< What it came to.
+  std::string Node;    ///< Receiver.
+  LedgerResult Result; ///< Result.
 };
-/// Tell the router about a claim.
+/// Report the decision on a claim to the router.
 struct ClaimDecidedAction {
-  RequestSerial Request;                        ///< Whose.
-  ClaimVerdict Verdict = ClaimVerdict::Invalid; ///< What it came to.
-  ResultCode EarlierCode = ResultCode::Invalid; ///< For Completed.
+  RequestSerial Request;                        ///< Request of the claim.
+  ClaimVerdict Verdict = ClaimVerdict::Invalid; ///< Decision.
+  ResultCode EarlierCode = ResultCode::Invalid; ///< Result code, for Completed.
 };
 
-/// Anything that the ledger asks its surroundings to do.
+/// An effect that the ledger requests: store and peer I/O, and decisions for
+/// the router.
 using LedgerAction =
     std::variant<ReadHeadAction, ReadSegmentAction, WriteHeadAction,
                  WriteSegmentAction, RemoveSegmentAction, SendOpAction,
                  SendResultAction, ClaimDecidedAction>;
 using LedgerActions = std::vector<LedgerAction>;
 
-/// Names one operation: a claim and its release share a nonce.
+/// Identifies an operation by nonce and requested state, since a claim and its
+/// release share a nonce.
 using LocalOpKey = std::pair<std::uint64_t, LedgerState>;
 
-/// Counts for operators.
+/// Counters for operators.
 struct LedgerCounts {
   std::uint64_t Commits = 0;   ///< Heads written.
   std::uint64_t Committed = 0; ///< Operations in them.
-  std::uint64_t Conflicts = 0; ///< Heads that others wrote first.
-  std::uint64_t Unknown = 0;   ///< Writes whose answer was lost.
-  std::uint64_t Fallbacks = 0; ///< Operations whose usual writer was silent.
-  std::uint64_t Rolled = 0;    ///< Segments written.
+  std::uint64_t Conflicts = 0; ///< Head writes lost to another writer.
+  std::uint64_t Unknown = 0;   ///< Writes with an unknown outcome.
+  /// Operations taken over after the preferred writer timed out.
+  std::uint64_t Fallbacks = 0;
+  std::uint64_t Rolled = 0; ///< Heads moved into segments.
 };
 
-/// The ledger of one node: writer of some shards, asker of all.
+/// The ledger of one node: commits the operations of the shards that it writes,
+/// and sends operations on all shards.
 struct Ledger {
   std::string Self;              ///< This node's id.
-  std::uint64_t Incarnation = 0; ///< Of this process.
-  Random Rng;                    ///< For nonces and jitter.
-  Duration Linger{};             ///< Gathering time.
-  Duration RecordLinger =
-      std::chrono::milliseconds(400); ///< Longest wait of a record.
-  WallMs RetentionMs = 3600000;       ///< How long ids are remembered.
-  std::size_t MaxHeadEntries = 512;   ///< A fuller head is rolled.
-  double WriteRate = 15;          ///< Writes a second of one shard, at most.
-  double WriteBurst = 10;         ///< Of them at once.
-  std::vector<std::string> Nodes; ///< Live nodes; the writer is one of them.
-  std::array<LedgerShard, ShardCount> Shards;              ///< By id.
-  std::map<LocalOpKey, LocalOp> Local;                     ///< Undecided.
-  std::unordered_map<RequestSerial, std::uint64_t> Nonces; ///< Of claims.
-  std::map<Hash128, int> Releasing; ///< Keys with undecided releases.
-  LedgerCounts Counts;              ///< For operators.
+  std::uint64_t Incarnation = 0; ///< Incarnation of this process.
+  Random Rng;        ///< Source of nonces, segment names and jitter.
+  Duration Linger{}; ///< Time to batch operations before a commit.
+  /// Time to batch records, for which nobody waits.
+  Duration RecordLinger = std::chrono::milliseconds(400);
+  WallMs RetentionMs = 3600000; ///< Time until entries expire.
+  std::size_t MaxHeadEntries =
+      512;                ///< Entries at which a head is moved into a segment.
+  double WriteRate = 15;  ///< Maximum writes/s to one shard.
+  double WriteBurst = 10; ///< Maximum burst of those writes.
+  /// Live nodes, candidates for preferred writer.
+  std::vector<std::string> Nodes;
+  std::array<LedgerShard, ShardCount> Shards; ///< By id.
+  std::map<LocalOpKey, LocalOp> Local; ///< Undecided operations of this node.
+  std::unordered_map<RequestSerial, std::uint64_t>
+      Nonces;                       ///< Nonces of claims.
+  std::map<Hash128, int> Releasing; ///< Undecided releases by key.
+  LedgerCounts Counts;              ///< Counters.
 };
 
 } // namespace fulmar
--- a/src/ledger_internal.h
+++ b/src/ledger_internal.h
@@ -1,4 +1,4 @@
-/// \file ledger_internal.h Steps that the ledger's files share.
+/// \file ledger_internal.h Functions shared by the ledger's source files.
 #ifndef FULMARSTEP_LEDGER_INTERNAL_H
 #define FULMARSTEP_LEDGER_INTERNAL_H
 
@@ -6,19 +6,20 @@
 
 namespace fulmar {
 
-/// Adds an operation to a shard's next commit.
+/// Queues an operation for the next commit of a shard.
 void shardEnqueue(Ledger &L, ShardId Id, PendingOp Op, TimePoint Now,
                   WallMs Wall, LedgerActions &Out);
 
-/// Takes the next step of a shard that waits for nothing.
+/// Starts the next read or write of an idle shard, if it is due.
 void shardAdvance(Ledger &L, LedgerShard &Shard, TimePoint Now, WallMs Wall,
                   LedgerActions &Out);
 
-/// \return When an idle shard with operations takes its next step.
+/// \return When an idle shard with queued operations may start its next read or
+/// write.
 TimePoint shardDue(const Ledger &L, const LedgerShard &Shard);
 
-/// Takes in the result of an operation of this node.
-void decideLocal(Ledger &L, const LedgerResult &Result, LedgerActions &Out);
+/// Applies the result of an operation requested by this node.
+void completeLocal(Ledger &L, const LedgerResult &Result, LedgerActions &Out);
 
 } // namespace fulmar
 
--- a/src/ledger_service.cpp
+++ b/src/ledger_service.cpp
@@ -1,4 +1,4 @@
-/// \file ledger_service.cpp Carries out the ledger's actions.
+/// \file ledger_service.cpp Performs the I/O of the ledger.
 #include "ledger_service.h"
 
 #include "event_loop.h"
@@ -83,12 +83,12 @@
 }
 
 void LedgerService::arm() {
-  Timers->cancel(Wake);
+  Timers->cancel(TickTimer);
   auto Due = ledgerNextDue(State);
   if (!Due)
     return;
   Duration Delay = std::max(Duration::zero(), *Due - Timers->now());
-  Wake = Timers->after(Delay, [this] {
+  TickTimer = Timers->after(Delay, [this] {
     feed([&](LedgerActions &Out) {
       ledgerTick(State, Timers->now(), EventLoop::wallClock(), Out);
     });
@@ -113,8 +113,8 @@
   Kv->get(segmentKey(Shard, Name),
           [this, Shard, Name](KvStatus Status, const KvEntry &E) {
             auto Entries = decodeSegment(E.Value);
-            // A segment that a head refers to and that is not there must not
-            // read as empty: its claims would be granted a second time.
+            // A missing segment that a head refers to must not be taken for an
+            // empty one: its claims would be granted a second time.
             if (!Entries || E.Index == 0)
               Status = KvStatus::Unavailable;
             feed([&](LedgerActions &Out) {
--- a/src/ledger_service.h
+++ b/src/ledger_service.h
@@ -1,4 +1,4 @@
-/// \file ledger_service.h Carries out the ledger's actions.
+/// \file ledger_service.h Performs the I/O of the ledger.
 #ifndef FULMARSTEP_LEDGER_SERVICE_H
 #define FULMARSTEP_LEDGER_SERVICE_H
 
@@ -14,18 +14,18 @@
 class PeerService;
 class MemberService;
 
-/// The ledger with its I/O.
+/// The ledger with its store, peer and timer I/O.
 class LedgerService : public Service {
 public:
   LedgerService(Kernel &K, Ledger Initial);
 
   void start() override;
 
-  /// Decides on a claim; the router hears of it later.
+  /// Requests a claim; the router gets the decision later.
   void claim(const ClaimAction &Action);
-  /// Gives a claim back.
+  /// Releases a claim.
   void release(const ReleaseAction &Action);
-  /// Records how a claimed request ended.
+  /// Records the result code of a claimed request.
   void record(const RecordAction &Action);
 
   /// \return The state, for status pages and metrics.
@@ -34,7 +34,7 @@
   std::size_t undecided() const { return State.Local.size(); }
 
 private:
-  /// Hands the ledger one event and carries out what it asks for.
+  /// Runs one ledger event and performs the resulting actions.
   template <typename Fn> void feed(Fn Event);
   void perform(const LedgerActions &Actions);
   void carryOut(const ReadHeadAction &Action);
@@ -47,14 +47,14 @@
   void carryOut(const ClaimDecidedAction &Action);
   void arm();
 
-  Kernel &Services;                 ///< Finds the others.
-  TimerService *Timers = nullptr;   ///< Time.
-  KvStore *Kv = nullptr;            ///< Keeps the ledger.
-  RouterService *Router = nullptr;  ///< Waits for claims.
-  PeerService *Peers = nullptr;     ///< Reaches usual writers.
-  MemberService *Members = nullptr; ///< Knows them.
-  Ledger State;                     ///< Decides.
-  TimerId Wake;                     ///< For the next due time.
+  Kernel &Services;                 ///< Finds the other services.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  KvStore *Kv = nullptr;            ///< Stores the ledger.
+  RouterService *Router = nullptr;  ///< Receives claim decisions.
+  PeerService *Peers = nullptr;     ///< Messages to and from other nodes.
+  MemberService *Members = nullptr; ///< Live nodes.
+  Ledger State;                     ///< State.
+  TimerId TickTimer;                ///< Timer for the next ledgerTick.
 };
 
 } // namespace fulmar
--- a/src/ledger_shard.cpp
+++ b/src/ledger_shard.cpp
@@ -1,4 +1,4 @@
-/// \file ledger_shard.cpp The side of the ledger that writes.
+/// \file ledger_shard.cpp Writing side of the ledger: commits to shards.
 #include <algorithm>
 #include <cassert>
 
@@ -7,10 +7,10 @@
 
 namespace fulmar {
 
-static constexpr Duration FirstBackOff = std::chrono::milliseconds(100);
-static constexpr int MostDoublings = 5;
-/// How long an operation of another node is kept.
-static constexpr Duration PeerOpLife = std::chrono::seconds(2);
+static constexpr Duration InitialBackoff = std::chrono::milliseconds(100);
+static constexpr int MaxBackoffDoublings = 5;
+/// How long an operation from another node stays queued.
+static constexpr Duration PeerOpLifetime = std::chrono::seconds(2);
 
 /// Finds the latest entry of a key that has not expired.
 static const LedgerEntry *
@@ -28,14 +28,15 @@
     return Found;
   for (auto Ref = Head.Segments.rbegin(); Ref != Head.Segments.rend(); ++Ref) {
     auto Segment = Segments.find(Ref->Name);
-    assert(Segment != Segments.end() && "segments are read before");
+    assert(Segment != Segments.end() &&
+           "the segments of the head have been read");
     if (const LedgerEntry *Found = In(Segment->second))
       return Found;
   }
   return nullptr;
 }
 
-/// Writes an entry: in place of the head's entry of that key, or as a new one.
+/// Inserts an entry, or replaces the head's entry of the same key.
 static void putEntry(LedgerHead &Head, const LedgerEntry &Entry) {
   for (LedgerEntry &Old : Head.Entries) {
     if (Old.Key != Entry.Key)
@@ -46,19 +47,21 @@
   Head.Entries.push_back(Entry);
 }
 
-/// Decides a claim against what the ledger has.
-static LedgerVerdict judgeClaim(const LedgerEntry *Old, const LedgerEntry &Op) {
+/// Decides a claim against the existing entry of its key.
+static LedgerVerdict decideClaim(const LedgerEntry *Old,
+                                 const LedgerEntry &Op) {
   if (!Old)
     return LedgerVerdict::Granted;
   bool Own = Old->Nonce == Op.Nonce;
   switch (Old->State) {
   case LedgerState::Claimed:
-    // One's own claim is found again when the answer to its write was lost.
+    // An operation finds its own claim when the response to its write was lost.
     return Own ? LedgerVerdict::Granted : LedgerVerdict::InProgress;
   case LedgerState::Recorded:
     return LedgerVerdict::Completed;
   case LedgerState::Released:
-    // A slow writer can bring a claim after its release: it must not stand.
+    // A slow writer can deliver a claim after its release; it must not be
+    // granted.
     return Own ? LedgerVerdict::Withdrawn : LedgerVerdict::Granted;
   case LedgerState::Count:
   case LedgerState::Invalid:
@@ -78,13 +81,14 @@
   bool Put = false;
   switch (Op.State) {
   case LedgerState::Claimed:
-    Result.Verdict = judgeClaim(Old, Op);
+    Result.Verdict = decideClaim(Old, Op);
     if (Result.Verdict == LedgerVerdict::Completed)
       Result.Code = Old->Code;
     Put = Result.Verdict == LedgerVerdict::Granted && !Own;
     break;
   case LedgerState::Released:
-    // Without an entry, a mark is left for a claim that is still on its way.
+    // Without an entry, a Released entry is left for a claim that is still in
+    // flight.
     Put = !Old || (Own && Old->State == LedgerState::Claimed);
     break;
   case LedgerState::Recorded:
@@ -104,15 +108,16 @@
 static void readHead(LedgerShard &Shard, LedgerActions &Out) {
   Shard.Phase = ShardPhase::ReadingHead;
   Shard.HeadKnown = false;
-  Shard.ReadForOps = true;
+  Shard.ReadCoversQueue = true;
   Out.push_back(ReadHeadAction{Shard.Id});
 }
 
-static void topUp(const Ledger &L, LedgerShard &Shard, TimePoint Now) {
-  double Seconds = toMs(Now - Shard.TokensAt) / 1e3;
+static void refillWriteTokens(const Ledger &L, LedgerShard &Shard,
+                              TimePoint Now) {
+  double Seconds = toMs(Now - Shard.LastRefill) / 1e3;
   Shard.WriteTokens =
       std::min(L.WriteBurst, Shard.WriteTokens + Seconds * L.WriteRate);
-  Shard.TokensAt = Now;
+  Shard.LastRefill = Now;
 }
 
 TimePoint shardDue(const Ledger &L, const LedgerShard &Shard) {
@@ -120,36 +125,36 @@
   if (Shard.WriteTokens >= 1)
     return Due;
   double Seconds = (1 - Shard.WriteTokens) / L.WriteRate;
-  return std::max(Due, Shard.TokensAt + fromMs(Seconds * 1e3) +
+  return std::max(Due, Shard.LastRefill + fromMs(Seconds * 1e3) +
                            std::chrono::milliseconds(1));
 }
 
 void shardEnqueue(Ledger &L, ShardId Id, PendingOp Op, TimePoint Now,
                   WallMs Wall, LedgerActions &Out) {
   LedgerShard &Shard = L.Shards[Id.Value];
-  // Nobody waits for a record, so it goes along with the next claims; alone, it
-  // would cost as many writes as the claims themselves.
-  bool Lazy = Op.Op.State == LedgerState::Recorded;
-  TimePoint Due = Now + (Lazy ? L.RecordLinger : L.Linger);
+  // Nobody waits for a record, so it is committed with the next claims. In
+  // commits of their own, records would cost as many writes as the claims.
+  bool Deferrable = Op.Op.State == LedgerState::Recorded;
+  TimePoint Due = Now + (Deferrable ? L.RecordLinger : L.Linger);
   Shard.CommitAfter =
       Shard.Queue.empty() ? Due : std::min(Shard.CommitAfter, Due);
   Shard.Queue.push_back(std::move(Op));
-  Shard.ReadForOps = false;
-  Shard.HeadFresh = false;
+  Shard.ReadCoversQueue = false;
+  Shard.HeadCoversQueue = false;
   shardAdvance(L, Shard, Now, Wall, Out);
 }
 
 void ledgerPeerOp(Ledger &L, const std::string &From, const LedgerEntry &Op,
                   TimePoint Now, WallMs Wall, LedgerActions &Out) {
-  shardEnqueue(L, shardOf(Op.Key), {Op, From, Now + PeerOpLife, false}, Now,
+  shardEnqueue(L, shardOf(Op.Key), {Op, From, Now + PeerOpLifetime, false}, Now,
                Wall, Out);
 }
 
-/// Hands a result to whoever asked.
-static void answer(Ledger &L, const PendingOp &Op, const LedgerResult &Result,
-                   LedgerActions &Out) {
+/// Delivers a result to the requester: this node or the operation's origin.
+static void deliverResult(Ledger &L, const PendingOp &Op,
+                          const LedgerResult &Result, LedgerActions &Out) {
   if (Op.Origin.empty())
-    decideLocal(L, Result, Out);
+    completeLocal(L, Result, Out);
   else if (Result.Verdict != LedgerVerdict::Unavailable)
     Out.push_back(SendResultAction{Op.Origin, Result});
 }
@@ -159,7 +164,7 @@
           ResultCode::Invalid};
 }
 
-/// Gives up operations whose answer is of no more use.
+/// Drops operations whose result is no longer needed.
 static void dropExpired(Ledger &L, LedgerShard &Shard, TimePoint Now,
                         LedgerActions &Out) {
   std::vector<PendingOp> Kept;
@@ -168,19 +173,20 @@
     (Op.Expires <= Now ? Gone : Kept).push_back(std::move(Op));
   Shard.Queue = std::move(Kept);
   for (const PendingOp &Op : Gone)
-    answer(L, Op, unavailable(Op), Out);
+    deliverResult(L, Op, unavailable(Op), Out);
 }
 
-/// Answers waiting claims at once while the service is out of order, so that
-/// callers can go elsewhere or come back later.
+/// Refuses queued claims at once while the store is unavailable, so that
+/// callers can go to another node or retry later.
 static void refuseClaims(Ledger &L, LedgerShard &Shard, LedgerActions &Out) {
   std::vector<PendingOp> Refused;
   for (const PendingOp &Op : Shard.Queue) {
     if (Op.Op.State == LedgerState::Claimed)
       Refused.push_back(Op);
   }
-  // The router answers by releasing, which needs to see in the queue whether
-  // the claim was attempted; so claims stay there until it has.
+  // The router responds with a release, which needs the claim in the queue to
+  // see whether it was attempted; so claims of this node stay queued until
+  // then.
   for (const PendingOp &Op : Refused) {
     if (!Op.Origin.empty())
       continue;
@@ -195,14 +201,14 @@
   });
 }
 
-static void backOff(Ledger &L, LedgerShard &Shard, TimePoint Now,
-                    LedgerActions &Out) {
+static void startBackoff(Ledger &L, LedgerShard &Shard, TimePoint Now,
+                         LedgerActions &Out) {
   Shard.Phase = ShardPhase::Idle;
   Shard.HeadKnown = false;
-  // Jitter: when an outage ends, all nodes would otherwise come at once.
+  // Jitter: otherwise all nodes would retry at once when an outage ends.
   double Factor = 0.5 + randomUnit(L.Rng);
-  Duration Wait =
-      FirstBackOff * (1 << std::min(Shard.FailuresInRow, MostDoublings));
+  Duration Wait = InitialBackoff *
+                  (1 << std::min(Shard.FailuresInRow, MaxBackoffDoublings));
   Shard.RetryAfter = Now + fromMs(toMs(Wait) * Factor);
   ++Shard.FailuresInRow;
   if (Shard.FailuresInRow > 1)
@@ -217,8 +223,8 @@
   Shard.InWrite.clear();
 }
 
-/// Forgets what has expired.
-/// \return Names of segments that are no longer referred to.
+/// Removes expired entries and segments from \p Head.
+/// \return Names of the segments that were removed.
 static std::vector<std::uint64_t> prune(LedgerHead &Head, WallMs Wall) {
   std::erase_if(Head.Entries,
                 [Wall](const LedgerEntry &E) { return E.ExpiresMs <= Wall; });
@@ -233,11 +239,11 @@
   return Gone;
 }
 
-/// Moves the head's entries into a segment of their own.
+/// Moves the head's entries into a new segment.
 static void rollHead(Ledger &L, LedgerShard &Shard, LedgerActions &Out) {
   SegmentRef Ref;
-  // A random name: two writers that roll at once must not write to one place,
-  // or the loser could overwrite what the winner's head refers to.
+  // A random name: two concurrent writers must not write the same segment, or
+  // the loser could overwrite the one that the winner's head refers to.
   Ref.Name = L.Rng();
   for (const LedgerEntry &E : Shard.Head.Entries)
     Ref.ExpiresMs = std::max(Ref.ExpiresMs, E.ExpiresMs);
@@ -263,21 +269,21 @@
         applyOp(Next, Shard.Segments, Op.Op, Wall, Changed));
   Shard.InWrite = std::move(Shard.Queue);
   Shard.Queue.clear();
-  if (!Changed && !Shard.HeadFresh) {
-    // Refused by a head that was read long ago. Another writer may have
-    // released the claim since, and without a write nothing here would ever
-    // notice: the id would be refused for good.
+  if (!Changed && !Shard.HeadCoversQueue) {
+    // Refused according to a stale head. Another writer may have released the
+    // claim since. A refusal needs no write, so no conflict would show the
+    // change, and the id would be refused for good.
     requeue(Shard);
     readHead(Shard, Out);
     return;
   }
-  Shard.HeadFresh = false;
+  Shard.HeadCoversQueue = false;
   if (!Changed) {
-    // All is as it was: refusals, and claims that were committed before.
+    // No change to write: refusals, and claims that were committed before.
     std::vector<PendingOp> Ops = std::move(Shard.InWrite);
     Shard.InWrite.clear();
     for (std::size_t I = 0; I < Ops.size(); ++I)
-      answer(L, Ops[I], Shard.Results[I], Out);
+      deliverResult(L, Ops[I], Shard.Results[I], Out);
     return;
   }
   for (PendingOp &Op : Shard.InWrite)
@@ -286,7 +292,7 @@
     Shard.Segments.erase(Name);
     Out.push_back(RemoveSegmentAction{Shard.Id, Name});
   }
-  topUp(L, Shard, Now);
+  refillWriteTokens(L, Shard, Now);
   Shard.WriteTokens -= 1;
   Shard.NextHead = std::move(Next);
   Shard.Phase = ShardPhase::WritingHead;
@@ -300,7 +306,7 @@
   dropExpired(L, Shard, Now, Out);
   if (Shard.Queue.empty())
     return;
-  topUp(L, Shard, Now);
+  refillWriteTokens(L, Shard, Now);
   if (shardDue(L, Shard) > Now)
     return;
   if (!Shard.HeadKnown)
@@ -318,15 +324,15 @@
   writeHead(L, Shard, Now, Wall, Out);
 }
 
-/// Removes a segment that was written for a commit that did not come about.
-static void dropOrphan(LedgerShard &Shard, LedgerActions &Out) {
+/// Removes a segment that was written for a commit that failed.
+static void removeOrphanSegment(LedgerShard &Shard, LedgerActions &Out) {
   if (!Shard.NewSegment)
     return;
   std::uint64_t Name = Shard.NewSegment->Name;
   Shard.NewSegment.reset();
   for (const SegmentRef &Ref : Shard.Head.Segments) {
     if (Ref.Name == Name)
-      return; // The commit did come about; only its answer was lost.
+      return; // The commit took effect; only its response was lost.
   }
   Shard.Segments.erase(Name);
   Out.push_back(RemoveSegmentAction{Shard.Id, Name});
@@ -337,14 +343,14 @@
                     WallMs Wall, LedgerActions &Out) {
   LedgerShard &Shard = L.Shards[Id.Value];
   if (Status != KvStatus::Ok)
-    return backOff(L, Shard, Now, Out);
+    return startBackoff(L, Shard, Now, Out);
   Shard.FailuresInRow = 0;
   Shard.Phase = ShardPhase::Idle;
   Shard.HeadKnown = true;
-  Shard.HeadFresh = Shard.ReadForOps;
+  Shard.HeadCoversQueue = Shard.ReadCoversQueue;
   Shard.HeadIndex = Index;
   Shard.Head = Head;
-  dropOrphan(Shard, Out);
+  removeOrphanSegment(Shard, Out);
   shardAdvance(L, Shard, Now, Wall, Out);
 }
 
@@ -353,7 +359,7 @@
                        TimePoint Now, WallMs Wall, LedgerActions &Out) {
   LedgerShard &Shard = L.Shards[Id.Value];
   if (Status != KvStatus::Ok)
-    return backOff(L, Shard, Now, Out);
+    return startBackoff(L, Shard, Now, Out);
   Shard.Phase = ShardPhase::Idle;
   Shard.Segments[Name] = Entries;
   shardAdvance(L, Shard, Now, Wall, Out);
@@ -363,8 +369,8 @@
                           WallMs Wall, LedgerActions &Out) {
   LedgerShard &Shard = L.Shards[Id.Value];
   if (Status != KvStatus::Ok) {
-    // Its name is used once only, so whether it was written does not matter.
-    backOff(L, Shard, Now, Out);
+    // The name is never reused, so whether it was written does not matter.
+    startBackoff(L, Shard, Now, Out);
     return;
   }
   Shard.Phase = ShardPhase::Idle;
@@ -374,8 +380,9 @@
 void ledgerHeadWritten(Ledger &L, ShardId Id, KvStatus Status, TimePoint Now,
                        WallMs Wall, LedgerActions &Out) {
   LedgerShard &Shard = L.Shards[Id.Value];
-  // The service does not tell a write's index, so the head is read again
-  // before the next write; that read also shows what a lost answer left open.
+  // The store does not return the index of a write, so the head is read again
+  // before the next write. That read also resolves a write whose response was
+  // lost.
   Shard.HeadKnown = false;
   Shard.Phase = ShardPhase::Idle;
   if (Status != KvStatus::Ok) {
@@ -383,7 +390,7 @@
     L.Counts.Unknown += Status == KvStatus::Unknown ? 1 : 0;
     requeue(Shard);
     if (Status != KvStatus::Conflict)
-      return backOff(L, Shard, Now, Out);
+      return startBackoff(L, Shard, Now, Out);
     shardAdvance(L, Shard, Now, Wall, Out);
     return;
   }
@@ -394,9 +401,9 @@
   std::vector<PendingOp> Ops = std::move(Shard.InWrite);
   Shard.InWrite.clear();
   for (std::size_t I = 0; I < Ops.size(); ++I)
-    answer(L, Ops[I], Shard.Results[I], Out);
-  // Each write needs the index that the one before left; reading it now, and
-  // not when the next claim comes, takes that read out of the claim's way.
+    deliverResult(L, Ops[I], Shard.Results[I], Out);
+  // Each write needs the index of the previous one. Reading it now and not when
+  // the next claim arrives keeps that read out of the claim's latency.
   if (Shard.Phase == ShardPhase::Idle && !Shard.HeadKnown)
     readHead(Shard, Out);
 }
--- a/tests/ledger_world.h
+++ b/tests/ledger_world.h
@@ -1,5 +1,5 @@
-// Several ledgers and one fake key-value service, driven in virtual time with
-// delays, lost answers, outages and pauses drawn from a seed.
+// Simulation of several ledgers and one key-value store in virtual time, with
+// seeded random delays, lost responses, outages and pauses.
 #ifndef FULMARSTEP_TESTS_LEDGER_WORLD_H
 #define FULMARSTEP_TESTS_LEDGER_WORLD_H
 
@@ -11,16 +11,16 @@
 
 namespace fulmar {
 
-/// What a request of the test came to.
-struct WorldTry {
-  std::size_t Node = 0;                         ///< Where it was sent.
-  std::string Id;                               ///< Its id.
-  RequestSerial Serial;                         ///< Its local name there.
-  ClaimVerdict Verdict = ClaimVerdict::Invalid; ///< Last one heard.
-  bool Executed = false; ///< It was granted in time, and ran.
-  bool Ended = false;    ///< It was given up or refused.
-  TimePoint Asked{};     ///< When it was sent.
-  TimePoint Decided{};   ///< When its verdict came.
+/// A request of the test and its state.
+struct SimulatedRequest {
+  std::size_t Node = 0;                         ///< Node that receives it.
+  std::string Id;                               ///< Request id.
+  RequestSerial Serial;                         ///< Its number on the node.
+  ClaimVerdict Verdict = ClaimVerdict::Invalid; ///< Latest decision.
+  bool Executed = false;                        ///< Granted in time, and run.
+  bool Ended = false;                           ///< Given up or refused.
+  TimePoint SentAt{};                           ///< When it was sent.
+  TimePoint Decided{}; ///< When the latest decision arrived.
 };
 
 struct LedgerWorld {
@@ -32,13 +32,14 @@
   std::map<std::string, std::vector<LedgerEntry>> Segments;
   std::uint64_t LastIndex = 0;
   std::multimap<TimePoint, std::pair<int, std::function<void()>>> Events;
-  std::vector<WorldTry> Tries;
+  std::vector<SimulatedRequest> Requests;
   std::vector<TimePoint> PausedUntil;
-  std::vector<std::uint64_t> Epoch;
+  std::vector<std::uint64_t> ProcessEpoch;
   bool Outage = false;
-  bool OutageAfterWrite = false; ///< The next write is the last thing done.
-  double LoseAnswer = 0;
-  double LoseMessage = 0;
+  bool OutageAfterWrite = false; ///< An outage begins with the next
+                                 ///< write, whose response is lost.
+  double ResponseLossRate = 0;
+  double MessageLossRate = 0;
   int MaxDelayMs = 3;
   int Writes = 0;
   int Reads = 0;
@@ -51,7 +52,7 @@
       Nodes.push_back(makeLedger(Names[I], 1, Seed * 100 + I));
       Nodes.back().Nodes = Names;
       PausedUntil.push_back({});
-      Epoch.push_back(0);
+      ProcessEpoch.push_back(0);
     }
   }
 
@@ -60,40 +61,42 @@
     return std::chrono::microseconds(
         200 + randomIndex(Rng, static_cast<std::size_t>(MaxDelayMs) * 1000));
   }
-  /// Calls \p Fn on \p Node, unless its process has died by then; -1: nobody's.
+  /// Schedules \p Fn on \p Node; dropped if the node's process has restarted by
+  /// then. -1: on no node.
   void at(TimePoint When, int Node, std::function<void()> Fn) {
     if (Node < 0) {
       Events.emplace(When, std::make_pair(Node, std::move(Fn)));
       return;
     }
     auto N = static_cast<std::size_t>(Node);
-    Events.emplace(When, std::make_pair(Node, [=, this, Born = Epoch[N]] {
-                     if (Epoch[N] == Born)
+    Events.emplace(When,
+                   std::make_pair(Node, [=, this, BornEpoch = ProcessEpoch[N]] {
+                     if (ProcessEpoch[N] == BornEpoch)
                        Fn();
                    }));
   }
-  /// The process dies and starts anew, knowing nothing.
+  /// Restarts the process of a node, which loses its state.
   void restart(std::size_t N, std::uint64_t Seed) {
-    Ledger Fresh = makeLedger(Nodes[N].Self, ++Epoch[N] + 1, Seed);
+    Ledger Fresh = makeLedger(Nodes[N].Self, ++ProcessEpoch[N] + 1, Seed);
     Fresh.MaxHeadEntries = Nodes[N].MaxHeadEntries;
     Fresh.Nodes = Nodes[N].Nodes;
     Nodes[N] = std::move(Fresh);
-    for (WorldTry &T : Tries)
+    for (SimulatedRequest &T : Requests)
       T.Ended |= T.Node == N;
   }
   std::size_t indexOf(const std::string &Name) const {
     return std::stoul(Name.substr(1));
   }
 
-  /// Calls the service after a delay, and hands the answer back after another,
-  /// unless it is lost: then the caller sees a time-out.
+  /// Calls the store after a delay and delivers the response after another. If
+  /// the response is lost, or during an outage, the caller gets a timeout.
   void call(std::size_t Node, std::function<std::function<void()>()> Do,
             std::function<void()> Timeout) {
     at(Now + delay(), -1, [=, this] {
       if (Outage)
         return at(Now + delay(), static_cast<int>(Node), Timeout);
       std::function<void()> Answer = Do();
-      bool Lost = randomUnit(Rng) < LoseAnswer;
+      bool Lost = randomUnit(Rng) < ResponseLossRate;
       at(Now + delay(), static_cast<int>(Node), Lost ? Timeout : Answer);
     });
   }
@@ -187,7 +190,7 @@
        [=, this] { Segments.erase(std::to_string(A.Name)); });
   }
   void carryOut(std::size_t N, const SendOpAction &A) {
-    if (randomUnit(Rng) < LoseMessage)
+    if (randomUnit(Rng) < MessageLossRate)
       return;
     std::size_t To = indexOf(A.Node);
     at(Now + delay(), static_cast<int>(To), [=, this] {
@@ -197,7 +200,7 @@
     });
   }
   void carryOut(std::size_t, const SendResultAction &A) {
-    if (randomUnit(Rng) < LoseMessage)
+    if (randomUnit(Rng) < MessageLossRate)
       return;
     std::size_t To = indexOf(A.Node);
     at(Now + delay(), static_cast<int>(To), [=, this] {
@@ -207,8 +210,8 @@
     });
   }
   void carryOut(std::size_t N, const ClaimDecidedAction &A) {
-    for (std::size_t I = 0; I < Tries.size(); ++I) {
-      WorldTry &T = Tries[I];
+    for (std::size_t I = 0; I < Requests.size(); ++I) {
+      SimulatedRequest &T = Requests[I];
       if (T.Node != N || T.Serial != A.Request || T.Ended || T.Executed)
         continue;
       T.Verdict = A.Verdict;
@@ -220,35 +223,36 @@
     }
   }
 
-  /// The caller is told "not run"; the claim is given back.
+  /// Tells the caller "not run" and releases the claim.
   void giveUp(std::size_t Index) {
-    WorldTry &T = Tries[Index];
+    SimulatedRequest &T = Requests[Index];
     T.Ended = true;
     with(T.Node, [&](Ledger &L, LedgerActions &Out) {
       ledgerRelease(L, T.Serial, ledgerKey("org", T.Id), Now, wall(), Out);
     });
   }
 
-  /// Sends a request; it is given up when no claim came within \p Patience.
+  /// Sends a request; it is given up when no claim is granted within
+  /// \p ClaimTimeout.
   std::size_t request(std::size_t Node, const std::string &Id,
-                      Duration Patience = std::chrono::seconds(2)) {
-    std::size_t Index = Tries.size();
-    Tries.push_back({Node, Id, RequestSerial{Index + 1}});
-    Tries.back().Asked = Now;
+                      Duration ClaimTimeout = std::chrono::seconds(2)) {
+    std::size_t Index = Requests.size();
+    Requests.push_back({Node, Id, RequestSerial{Index + 1}});
+    Requests.back().SentAt = Now;
     with(Node, [&](Ledger &L, LedgerActions &Out) {
       ledgerClaim(L, RequestSerial{Index + 1}, ledgerKey("org", Id),
-                  Now + Patience, Now, wall(), Out);
+                  Now + ClaimTimeout, Now, wall(), Out);
     });
-    at(Now + Patience, static_cast<int>(Node), [this, Index] {
-      if (!Tries[Index].Executed && !Tries[Index].Ended)
+    at(Now + ClaimTimeout, static_cast<int>(Node), [this, Index] {
+      if (!Requests[Index].Executed && !Requests[Index].Ended)
         giveUp(Index);
     });
     return Index;
   }
 
-  /// The request has run; its outcome is recorded.
+  /// Records that the request completed.
   void record(std::size_t Index) {
-    const WorldTry &T = Tries[Index];
+    const SimulatedRequest &T = Requests[Index];
     with(T.Node, [&](Ledger &L, LedgerActions &Out) {
       ledgerRecord(L, T.Serial, ledgerKey("org", T.Id), ResultCode::Complete,
                    Now, wall(), Out);
@@ -269,7 +273,7 @@
       while (!Events.empty() && Events.begin()->first <= Now) {
         auto Node = Events.extract(Events.begin());
         int Who = Node.mapped().first;
-        // A paused process handles what came when it goes on.
+        // A paused process handles pending events when it resumes.
         if (Who >= 0 && PausedUntil[static_cast<std::size_t>(Who)] > Now)
           at(PausedUntil[static_cast<std::size_t>(Who)], Who,
              Node.mapped().second);
@@ -288,11 +292,11 @@
     }
   }
 
-  /// \return The most tries of one id that ran.
-  int mostExecutions() const {
+  /// \return The maximum number of executed requests with one id.
+  int maxExecutions() const {
     std::map<std::string, int> Count;
     int Most = 0;
-    for (const WorldTry &T : Tries) {
+    for (const SimulatedRequest &T : Requests) {
       if (T.Executed)
         Most = std::max(Most, ++Count[T.Id]);
     }
--- a/tests/test_ledger_measure.cpp
+++ b/tests/test_ledger_measure.cpp
@@ -1,5 +1,5 @@
-// Ways to keep claims, weighed: run with `fulmarstep_tests "[measure]"`. Hidden
-// from the usual run, since it prints a table instead of a verdict.
+// Compares ways to commit claims; run with `fulmarstep_tests "[measure]"`.
+// Hidden from the default run, since it prints a table and checks nothing.
 #include <cstdio>
 
 #include "ledger_world.h"
@@ -31,7 +31,7 @@
           W.request(static_cast<std::size_t>(Node), "id" + std::to_string(I));
       // A request runs for 50 ms; then its outcome is recorded.
       W.at(W.Now + 50ms + 20ms, Node, [&W, Try] {
-        if (W.Tries[Try].Executed)
+        if (W.Requests[Try].Executed)
           W.record(Try);
       });
     });
@@ -39,9 +39,9 @@
   W.run(std::chrono::seconds(Seconds + 3));
   std::vector<double> Ms;
   std::size_t Refused = 0;
-  for (const WorldTry &T : W.Tries) {
+  for (const SimulatedRequest &T : W.Requests) {
     if (T.Executed)
-      Ms.push_back(toMs(T.Decided - T.Asked));
+      Ms.push_back(toMs(T.Decided - T.SentAt));
     else
       ++Refused;
   }
