--- a/tests/test_decisions.cpp
+++ b/tests/test_decisions.cpp
@@ -1,4 +1,5 @@
-/// \file test_decisions.cpp The small decisions of a forwarding node.
+/// \file test_decisions.cpp Decision functions of a gateway node: retries,
+/// freshness, upstream lists, routes.
 #include <catch2/catch.hpp>
 
 #include "attempt_decision_func.h"
@@ -15,11 +16,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-SCENARIO("what follows an attempt") {
+SCENARIO("decision after an attempt") {
   GIVEN("every combination of facts") {
     // Symptom: a request that was refused as not run has run.
-    // Sequence: one attempt may have run; a second says that it did not.
-    // Cause: the last attempt alone decides what is said.
+    // Sequence: one attempt may have run; a second one did not run.
+    // Cause: the result depends on the last attempt alone.
     for (int Bits = 0; Bits < 1 << 9; ++Bits) {
       for (int Effect = 0; Effect < 4; ++Effect) {
         for (int Outcome = 0; Outcome < 3; ++Outcome) {
@@ -59,11 +60,11 @@
   }
 }
 
-SCENARIO("repeats stay within the fleet's budget") {
-  // Symptom: an upstream pool that is ill gets a multiple of its load.
-  // Sequence: every request fails and is repeated at every node.
-  // Cause: each node repeats as if it were alone.
-  GIVEN("eight nodes before a pool that fails everything") {
+SCENARIO("retries stay within the fleet-wide budget") {
+  // Symptom: a failing upstream pool gets a multiple of its load.
+  // Sequence: every request fails and is retried by every node.
+  // Cause: each node applies the whole retry budget by itself.
+  GIVEN("eight nodes and a pool that fails every request") {
     RetryAllowance A{0.2, 56, seconds(10), 8};
     std::vector<RetryWindow> Nodes(8);
     std::vector<TimePoint> Requests;
@@ -78,7 +79,7 @@
       retryWindowRepeat(W, Now);
       Repeats.push_back(Now);
     }
-    THEN("no window of ten seconds has more than is allowed") {
+    THEN("no window of ten seconds has more retries than allowed") {
       for (std::size_t I = 0; I < Repeats.size(); ++I) {
         TimePoint End = Repeats[I] + seconds(10);
         auto In = [&](const std::vector<TimePoint> &Times) {
@@ -94,7 +95,7 @@
   }
 }
 
-SCENARIO("how long a configuration is believed") {
+SCENARIO("expiry of a configuration") {
   Freshness F;
   FreshnessBounds B{seconds(5)};
   CHECK_FALSE(freshForKeys(F, B, seconds(1)));
@@ -107,23 +108,23 @@
     freshnessConfirm(F, seconds(8));
     CHECK(freshnessAge(F, seconds(11)) == Duration(seconds(1)));
   }
-  THEN("without a bound it is believed for ever") {
+  THEN("without a bound it never expires") {
     CHECK(freshForKeys(F, FreshnessBounds{}, seconds(1000)));
   }
 }
 
-SCENARIO("the list of upstreams is away and comes back") {
+SCENARIO("the list of upstreams is unavailable for a while") {
   // Symptom: after an outage of the store all requests are refused for two
   // seconds.
   // Sequence: the leases of live upstreams lapse while the store is away; the
   // first list after it is empty.
-  // Cause: their absence was believed at once.
+  // Cause: upstreams that were missing from it were removed at once.
   UpstreamRegistry Registry;
   UpstreamEntry A{"i-a", "p", "1.2.3.4:5"};
   UpstreamEntry B{"i-b", "p", "1.2.3.4:6"};
   CHECK(registryRead(Registry, {A, B}, TimePoint{seconds(1)}));
   CHECK_FALSE(registryRead(Registry, {A, B}, TimePoint{seconds(2)}));
-  GIVEN("a list without one, in quiet times") {
+  GIVEN("a list without one of them, and no outage") {
     CHECK(registryRead(Registry, {A}, TimePoint{seconds(3)}));
     CHECK(Registry.Entries.size() == 1);
   }
@@ -132,11 +133,11 @@
     CHECK(Registry.Entries.size() == 2);
     registryRead(Registry, {A}, TimePoint{seconds(8)});
     CHECK(Registry.Entries.size() == 2);
-    THEN("one that is missing two seconds later is gone") {
+    THEN("one that is missing two seconds later is removed") {
       registryRead(Registry, {A}, TimePoint{milliseconds(9100)});
       CHECK(Registry.Entries.size() == 1);
     }
-    THEN("one that says it leaves is believed at once") {
+    THEN("one that announces that it is leaving is updated at once") {
       A.Leaving = true;
       registryRead(Registry, {A}, TimePoint{milliseconds(8100)});
       CHECK(Registry.Entries.at("i-a").Leaving);
@@ -144,24 +145,24 @@
   }
 }
 
-SCENARIO("streams are taken apart into whole events") {
+SCENARIO("streams are split into whole events") {
   EventSplitter Splitter;
-  std::vector<std::pair<std::string, std::optional<std::uint64_t>>> Got;
+  std::vector<std::pair<std::string, std::optional<std::uint64_t>>> Events;
   auto Take = [&](const StreamEvent &E) {
-    Got.emplace_back(std::string(E.Bytes), E.Id);
+    Events.emplace_back(std::string(E.Bytes), E.Id);
   };
   std::string Text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\n";
   std::size_t Size = GENERATE(std::size_t{1}, std::size_t{7}, std::size_t{99});
   for (std::size_t I = 0; I < Text.size(); I += Size)
     CHECK(Splitter.feed(std::string_view(Text).substr(I, Size), Take));
-  REQUIRE(Got.size() == 3);
-  CHECK(Got[0].second == 1);
-  CHECK(Got[1].first == "id: 2\r\ndata: b\r\n\r\n");
-  CHECK_FALSE(Got[2].second);
+  REQUIRE(Events.size() == 3);
+  CHECK(Events[0].second == 1);
+  CHECK(Events[1].first == "id: 2\r\ndata: b\r\n\r\n");
+  CHECK_FALSE(Events[2].second);
   CHECK_FALSE(Splitter.partial());
   Splitter.feed("id: 3\nda", Take);
   CHECK(Splitter.partial());
-  GIVEN("a place in the stream") {
+  GIVEN("a cursor in the stream") {
     EventCursor Cursor{2};
     CHECK(Cursor.judge({"", 3}) == EventOrder::Next);
     CHECK(Cursor.judge({"", 2}) == EventOrder::Repeat);
@@ -187,7 +188,7 @@
   CHECK(findRoute(Table, "h", "/a/bc")->Name == "short");
   CHECK(findRoute(Table, "h", "/b") == nullptr);
   CHECK(findRoute(Table, "x", "/a/") == nullptr);
-  THEN("weights share requests out") {
+  THEN("requests are divided by weight") {
     int Second = 0;
     for (std::uint64_t I = 0; I < 1024; ++I)
       Second += chooseTarget(Table.Routes[0], I << 54) == "q" ? 1 : 0;
@@ -222,28 +223,28 @@
   CHECK(Found.Unreadable == std::vector<int>{2});
 }
 
-SCENARIO("how long inputs are kept after the work was sent") {
+SCENARIO("how long inputs are kept after a call was sent") {
   ReadWait W;
-  GIVEN("upstreams in another region, which find them gone") {
+  GIVEN("upstreams in another region, which find their inputs gone") {
     for (int I = 0; I < 10 && W.Wait < milliseconds(70); ++I)
       readWaitLearn(W, /*Missed=*/10, /*Found=*/0);
     CHECK(W.Wait >= milliseconds(70));
-    THEN("a shorter wait is tried again, little by little") {
+    THEN("the wait is shortened again in small steps") {
       Duration Before = W.Wait;
       readWaitLearn(W, 0, 10);
       CHECK(W.Wait < Before);
       CHECK(W.Wait > Before * 9 / 10);
     }
-    THEN("there is a bound") {
+    THEN("the wait has an upper bound") {
       readWaitLearn(W, 1000, 0);
       CHECK(W.Wait == MostReadWait);
     }
   }
-  GIVEN("a request in each few calls whose inputs are gone for other reasons") {
-    // Symptom: calls shrink although hardly any input is missing.
+  GIVEN("a few requests whose inputs are gone for other reasons") {
+    // Symptom: calls get fewer requests although hardly any input is missing.
     // Sequence: in every fourth call one request of eight finds its inputs
     // gone, and the wait becomes half as long again. Cause: a call with one
-    // such request counted as much as a call of them.
+    // such request counted as much as a call that consists of them.
     for (int I = 0; I < 400; ++I)
       readWaitLearn(W, I % 4 == 0 ? 6 : 0, I % 4 == 0 ? 40 : 46);
     CHECK(W.Wait < LeastReadWait * 3 / 2);
