--- a/src/drain_service.cpp
+++ b/src/drain_service.cpp
@@ -11,26 +11,27 @@
 namespace fulmar {
 
 static constexpr Duration CheckPeriod = std::chrono::milliseconds(20);
-/// How long news of the stop may take to reach the nodes that give addresses.
-static constexpr Duration NewsTime = std::chrono::seconds(1);
-/// How long undecided releases and records may hold up a stop. They are wanted
-/// for callers' later repeats, not for safety, and in an outage of the
-/// key-value service they could not be written anyway.
-static constexpr Duration LedgerPatience = std::chrono::seconds(5);
+/// Time allowed for the stop announcement to reach all nodes that give out
+/// entry addresses.
+static constexpr Duration AnnounceTime = std::chrono::seconds(1);
+/// Longest delay of a stop by undecided ledger releases and records. They serve
+/// later retries of callers, not safety, and cannot be written during an outage
+/// of the key-value service anyway.
+static constexpr Duration LedgerTimeout = std::chrono::seconds(5);
 
 DrainPhase drainPhase(const DrainView &View, TimePoint Now) {
   Duration Elapsed = Now - View.Since;
   if (Elapsed >= View.Limit)
     return DrainPhase::Done;
-  // An address given out just before the news arrived is cached for its whole
-  // time; only then can no new request come here.
-  if (Elapsed < View.EntryTtl + NewsTime)
+  // Callers cache an address that was given out just before the announcement
+  // arrived for its whole TTL; no new request can arrive after that.
+  if (Elapsed < View.EntryTtl + AnnounceTime)
     return DrainPhase::Hidden;
   if (View.Requests > 0)
     return DrainPhase::Closing;
-  bool LedgerWaits =
-      View.LedgerOps > 0 && Elapsed < View.EntryTtl + NewsTime + LedgerPatience;
-  return LedgerWaits ? DrainPhase::Closing : DrainPhase::Done;
+  bool LedgerPending = View.LedgerOps > 0 &&
+                       Elapsed < View.EntryTtl + AnnounceTime + LedgerTimeout;
+  return LedgerPending ? DrainPhase::Closing : DrainPhase::Done;
 }
 
 DrainService::DrainService(Kernel &K, const Settings &S)
--- a/src/drain_service.h
+++ b/src/drain_service.h
@@ -16,24 +16,24 @@
 /// The steps of a graceful stop, in order.
 enum class DrainPhase {
   Serving, ///< Not stopping.
-  Hidden,  ///< No longer given out; still serves callers that cached it.
-  Closing, ///< Refuses new requests; those in progress end.
+  Hidden,  ///< Its address is no longer given to callers; still serves those
+           ///< that cached it.
+  Closing, ///< Refuses new requests; those in progress may complete.
   Done,    ///< Everything has ended; the process may exit.
   Count,   ///< Number of phases.
   Invalid, ///< Not a phase.
 };
 
-/// What a node's stop has to wait for.
+/// State that decides when a graceful stop may proceed.
 struct DrainView {
   TimePoint Since{};         ///< When the stop began.
   Duration EntryTtl{};       ///< How long callers cache addresses.
   Duration Limit{};          ///< Longest graceful stop.
-  std::size_t Requests = 0;  ///< In progress, detached ones included.
-  std::size_t LedgerOps = 0; ///< Not decided yet.
+  std::size_t Requests = 0;  ///< Requests in progress, including detached ones.
+  std::size_t LedgerOps = 0; ///< Undecided ledger operations.
 };
 
-/// Decides how far a stop has come.
-/// \return The phase that the node should be in at \p Now.
+/// \return The phase of the stop that the node should be in at \p Now.
 DrainPhase drainPhase(const DrainView &View, TimePoint Now);
 
 /// Stops a node so that no request is cut off and no caller meets a closed
@@ -44,22 +44,22 @@
 
   void start() override;
 
-  /// Begins the stop; further calls change nothing.
+  /// Begins the stop; repeated calls have no effect.
   void begin();
-  /// \return How far the stop has come.
+  /// \return The current phase of the stop.
   DrainPhase phase() const { return Phase; }
 
 private:
   void check();
 
-  Kernel &Services;                       ///< Finds the others.
-  const Settings &Config;                 ///< Times.
-  EventLoop *Loop = nullptr;              ///< Stopped at the end.
-  TimerService *Timers = nullptr;         ///< Time.
-  RouterService *Router = nullptr;        ///< Has requests in progress.
-  MemberService *Members = nullptr;       ///< Tells the others.
-  LedgerService *Claims = nullptr;        ///< Has operations undecided.
-  DrainPhase Phase = DrainPhase::Serving; ///< Present phase.
+  Kernel &Services;                 ///< Looks up other services.
+  const Settings &Config;           ///< Entry TTL and longest graceful stop.
+  EventLoop *Loop = nullptr;        ///< Stopped when the drain is done.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  RouterService *Router = nullptr;  ///< Source of the number of requests.
+  MemberService *Members = nullptr; ///< Announces the stop to other nodes.
+  LedgerService *Claims = nullptr;  ///< Source of undecided operations.
+  DrainPhase Phase = DrainPhase::Serving; ///< Current phase.
   TimePoint Since{};                      ///< When the stop began.
 };
 
--- a/src/host_list_service.cpp
+++ b/src/host_list_service.cpp
@@ -1,4 +1,4 @@
-/// \file host_list_service.cpp Follows the platform's host list.
+/// \file host_list_service.cpp Polls the platform's host list.
 #include "host_list_service.h"
 
 #include "json_func.h"
@@ -45,22 +45,22 @@
   Call.Method = "GET";
   Call.Path = "/v1/hosts";
   Call.Timeout = ReadTimeout;
-  // An unchanged list costs its tag only.
+  // An unchanged list is answered with status 304 and no body.
   if (!Tag.empty())
     Call.Headers.push_back({"If-None-Match", Tag});
   HttpCallbacks On;
   On.OnDone = [this, Done = std::move(Done)](const HttpAnswer &Answer) {
-    Done(answered(Answer));
+    Done(handleResponse(Answer));
   };
   Client->start(std::move(Call), std::move(On));
 }
 
-/// \return Whether the list is in force as the platform has it now.
-bool HostListService::answered(const HttpAnswer &Answer) {
+/// \return Whether the list in use is the platform's current one.
+bool HostListService::handleResponse(const HttpAnswer &Answer) {
   bool Good = Answer.Status == HttpOk || Answer.Status == HttpNotModified;
   if (!Good) {
-    // An old list is better than none: upstreams that are gone show by their
-    // failures, and new ones can wait.
+    // Keep the stale list: requests to removed upstreams fail and show that
+    // they are gone, and new upstreams can be added later.
     if (FailuresInRow++ == 0)
       logEvent(LogLevel::Warning, "host_list_unavailable", {});
     return false;
@@ -75,11 +75,11 @@
     return false;
   }
   Tag = Answer.header("ETag");
-  take(*Root);
+  applyList(*Root);
   return true;
 }
 
-void HostListService::take(const Json &Root) {
+void HostListService::applyList(const Json &Root) {
   Listed.clear();
   if (const Json *List = Root.find("upstreams")) {
     for (const Json &Item : List->Items)
--- a/src/host_list_service.h
+++ b/src/host_list_service.h
@@ -1,4 +1,4 @@
-/// \file host_list_service.h Follows the platform's host list.
+/// \file host_list_service.h Polls the platform's host list.
 #ifndef FULMARSTEP_HOST_LIST_SERVICE_H
 #define FULMARSTEP_HOST_LIST_SERVICE_H
 
@@ -14,41 +14,41 @@
 class RouterService;
 class MemberService;
 
-/// Reads the host list and gives the router the upstreams that it uses.
+/// Polls the host list and passes this node's subset of the upstreams to the
+/// router.
 class HostListService : public Service {
 public:
   HostListService(Kernel &K, const Settings &S);
 
   void start() override;
 
-  /// Reads the list at once and calls \p Done when it is in force; not at all
-  /// when it cannot be read.
+  /// Reads the list at once and calls \p Done after it has been applied. Does
+  /// not call \p Done when the list cannot be read.
   void refresh(std::function<void()> Done);
 
-  /// \return Reads that failed since the last good one; 0: it is fresh.
+  /// \return Number of consecutive failed reads; 0: the list is up to date.
   int failures() const { return FailuresInRow; }
-  /// \return Whether it was ever read.
+  /// \return Whether the list has been read at least once.
   bool known() const { return Known; }
 
 private:
   void poll();
   void read(std::function<void(bool)> Done);
-  bool answered(const HttpAnswer &Answer);
-  void take(const Json &Root);
+  bool handleResponse(const HttpAnswer &Answer);
+  void applyList(const Json &Root);
   void apply();
 
-  Kernel &Services;                 ///< Finds the others.
-  const Settings &Config;           ///< Address and period.
-  TimerService *Timers = nullptr;   ///< Time.
-  HttpClient *Client = nullptr;     ///< Reads.
-  RouterService *Router = nullptr;  ///< Gets upstreams.
-  MemberService *Members = nullptr; ///< Gets seeds, knows nodes.
-  std::map<std::string, std::vector<UpstreamSpec>> Listed; ///< By pool, as
-                                                           ///< last read.
-  std::map<std::string, Subset> Subsets;                   ///< By pool.
-  std::string Tag;                                         ///< ETag of that.
-  bool Known = false;    ///< Read at least once.
-  int FailuresInRow = 0; ///< Since the last good read.
+  Kernel &Services;       ///< Looks up other services.
+  const Settings &Config; ///< Address and poll interval of the host list.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  HttpClient *Client = nullptr;     ///< Reads the host list.
+  RouterService *Router = nullptr;  ///< Receives the upstreams.
+  MemberService *Members = nullptr; ///< Receives seeds, provides node ids.
+  std::map<std::string, std::vector<UpstreamSpec>> Listed; ///< List, by pool.
+  std::map<std::string, Subset> Subsets; ///< Upstreams in use, by pool.
+  std::string Tag;                       ///< ETag of the last list.
+  bool Known = false;    ///< Whether the list has been read at least once.
+  int FailuresInRow = 0; ///< Consecutive failed reads.
 };
 
 } // namespace fulmar
--- a/src/join_service.cpp
+++ b/src/join_service.cpp
@@ -1,4 +1,4 @@
-/// \file join_service.cpp Lets a process join its fleet.
+/// \file join_service.cpp Joins a process to its fleet.
 #include "join_service.h"
 
 #include <algorithm>
@@ -15,34 +15,34 @@
 
 static const std::string Prefix(FleetPrefix);
 static const std::string KeyName = Prefix + "peer-key";
-/// Entries of nodes come after all other keys of the fleet, so that the first
-/// page of a read has those, and as many nodes as one needs to find the rest.
+/// Node entries sort after all other keys of the fleet. So the first page of a
+/// read holds all other keys, and enough nodes to find the remaining ones.
 static const std::string NodePrefix = Prefix + "running/";
-/// As earlier versions wrote them.
-static const std::string EarlierNodePrefix = Prefix + "nodes/";
-/// An entry outlives its process by this much. It is only a seed for others,
-/// so it may be long, and renewals few.
+/// Prefix of the node entries of earlier versions.
+static const std::string LegacyNodePrefix = Prefix + "nodes/";
+/// An entry outlives its process by up to this time. It only serves as a seed
+/// for other nodes, so the lease may be long and renewals infrequent.
 static constexpr Duration LeaseTime = std::chrono::seconds(30);
 static constexpr Duration RenewPeriod = std::chrono::seconds(8);
-/// A node that knew nobody when it joined looks once more after this time: the
-/// others may have been entering themselves again.
-static constexpr Duration LonePeriod = std::chrono::seconds(2);
-/// Pause before a failed call is repeated, and how much it is spread.
+/// A node that knew no other node when it joined reads the entries again after
+/// this time: other nodes may have been rewriting theirs.
+static constexpr Duration LoneNodeDelay = std::chrono::seconds(2);
+/// Pause before a retry of a failed call, and the largest jitter added to it.
 static constexpr Duration RetryPause = std::chrono::milliseconds(60);
 static constexpr Duration RetrySpread = std::chrono::milliseconds(120);
-/// After the key-value service has come back from an older copy, all nodes
-/// enter themselves again within this time, and not all at once.
+/// After the key-value service has been restored from an older copy, all nodes
+/// rewrite their entries, spread over this time.
 static constexpr Duration EpochSpread = std::chrono::milliseconds(1200);
 
-/// After each so many failures in a row the pause is longer by one, up to the
-/// most: a short outage ends with all nodes back at once, a long one is not
-/// made longer by them.
-static constexpr int FailuresPerPause = 8;
-static constexpr int MostPauses = 4;
+/// The factor of the retry pause rises by one after each FailuresPerPauseStep
+/// consecutive failures, up to MaxPauseFactor. So all nodes return at once
+/// after a short outage, and do not prolong a long one.
+static constexpr int FailuresPerPauseStep = 8;
+static constexpr int MaxPauseFactor = 4;
 
 bool isNodeEntry(const KvItem &Item) {
   return Item.Key.rfind(NodePrefix, 0) == 0 ||
-         Item.Key.rfind(EarlierNodePrefix, 0) == 0;
+         Item.Key.rfind(LegacyNodePrefix, 0) == 0;
 }
 
 void JoinService::start() {
@@ -57,22 +57,24 @@
   read();
 }
 
-/// The key-value service has come back from an older copy. This node's entry
-/// and lease may be gone, and another node's lease may bear the same name; the
-/// shared secret may be gone, and another one may have been created. Waiting
-/// for a renewal to fail would leave strangers unable to find each other.
+/// Handles a restore of the key-value service from an older copy.
+///
+/// The entry and lease of this node may be lost, and another node's lease may
+/// have the same id. The shared secret may be lost, and another one may have
+/// been created. Until a renewal failed, nodes that do not know each other
+/// could not find each other, so this does not wait for one.
 void JoinService::epochBegan() {
-  ++Turn;
+  ++Generation;
   Lease = 0;
   Duration Pause = fromMs(toMs(EpochSpread) * randomUnit(Rng));
-  Timers->after(Pause, [this, Now = Turn] {
-    if (Now != Turn)
+  Timers->after(Pause, [this, Now = Generation] {
+    if (Now != Generation)
       return;
     Incarnation == 0 ? read() : confirmKey();
   });
 }
 
-/// Takes the secret that is kept, in place of another one if need be.
+/// Adopts the secret in the key-value service, replacing an older one.
 void JoinService::takeKey(const std::string &Kept) {
   if (std::exchange(Key, Kept) == Kept || Incarnation == 0)
     return;
@@ -80,63 +82,64 @@
   logEvent(LogLevel::Warning, "peer_key_replaced", {});
 }
 
-/// Sees that the secret that is kept and that of this node are the same. The
-/// kept one holds: nodes that start now take it.
+/// Makes the stored secret and that of this node equal. The stored one wins,
+/// since nodes that start now use it.
 void JoinService::confirmKey() {
-  Store->get(KeyName, [this, Now = Turn](KvStatus Status, const KvEntry &Kept) {
-    if (Now != Turn)
-      return;
-    if (Status != KvStatus::Ok)
-      return later(&JoinService::confirmKey, Status);
-    if (Kept.Value == Key)
-      return takeLease();
-    if (!Kept.Value.empty()) {
-      takeKey(Kept.Value);
-      return takeLease();
-    }
-    Store->cas(KeyName, Key, 0, [this, Now](KvStatus) {
-      if (Now == Turn)
-        later(&JoinService::confirmKey, KvStatus::Ok);
-    });
-  });
+  Store->get(KeyName,
+             [this, Now = Generation](KvStatus Status, const KvEntry &Kept) {
+               if (Now != Generation)
+                 return;
+               if (Status != KvStatus::Ok)
+                 return retryLater(&JoinService::confirmKey, Status);
+               if (Kept.Value == Key)
+                 return takeLease();
+               if (!Kept.Value.empty()) {
+                 takeKey(Kept.Value);
+                 return takeLease();
+               }
+               Store->cas(KeyName, Key, 0, [this, Now](KvStatus) {
+                 if (Now == Generation)
+                   retryLater(&JoinService::confirmKey, KvStatus::Ok);
+               });
+             });
 }
 
-/// Repeats a step whose call failed.
-void JoinService::later(void (JoinService::*Step)(), KvStatus Why) {
+/// Schedules a retry of a step whose call failed.
+void JoinService::retryLater(void (JoinService::*Step)(), KvStatus Why) {
   if (Failures++ == 0)
     logEvent(LogLevel::Warning, "join_delayed",
              {{"unknown", Why == KvStatus::Unknown ? 1 : 0}});
-  int Factor = std::min(MostPauses, 1 + Failures / FailuresPerPause);
+  int Factor = std::min(MaxPauseFactor, 1 + Failures / FailuresPerPauseStep);
   Duration Pause =
       (RetryPause + fromMs(toMs(RetrySpread) * randomUnit(Rng))) * Factor;
-  Timers->after(Pause, [this, Step, Now = Turn] {
-    if (Now == Turn)
+  Timers->after(Pause, [this, Step, Now = Generation] {
+    if (Now == Generation)
       (this->*Step)();
   });
 }
 
-/// Keys of the fleet that are read at least, if there are so many. Each node of
-/// a large fleet would otherwise read the entries of all others.
-static constexpr std::size_t EnoughKeys = 128;
+/// Number of keys after which a read of the fleet's keys stops. Without it each
+/// node of a large fleet would read the entries of all others.
+static constexpr std::size_t EnoughFleetKeys = 128;
 
-/// \return Whether a read of the fleet's keys goes on after a page.
+/// \return Whether a read of the fleet's keys continues with the next page.
 static bool wantsMore(const KvItems &SoFar) {
-  return SoFar.Items.size() < EnoughKeys;
+  return SoFar.Items.size() < EnoughFleetKeys;
 }
 
 void JoinService::read() {
-  auto Done = [this, Now = Turn](const KvItems &Found) {
-    if (Now != Turn)
+  auto Done = [this, Now = Generation](const KvItems &Found) {
+    if (Now != Generation)
       return;
     if (Found.Status != KvStatus::Ok)
-      return later(&JoinService::read, Found.Status);
-    taken(Found);
+      return retryLater(&JoinService::read, Found.Status);
+    applyItems(Found);
   };
   Tree->range(Prefix, Done, wantsMore);
 }
 
-void JoinService::taken(const KvItems &Found) {
-  for (const KvTree::ItemsFn &Fn : Hear)
+void JoinService::applyItems(const KvItems &Found) {
+  for (const KvTree::ItemsFn &Fn : Subscribers)
     Fn(Found);
   std::vector<HostPort> Seeds;
   for (const KvItem &Item : Found.Items) {
@@ -154,91 +157,92 @@
 }
 
 void JoinService::createKey() {
-  // Whatever the answer to the write is, the key that is there is the right
-  // one: several nodes may try at once, and an answer may be lost.
+  // Read the key back instead of trusting the response: several nodes may write
+  // at once, and a response may be lost. The stored key is the valid one.
   Store->cas(KeyName, makeSigningKey().PrivateHex, 0,
-             [this, Now = Turn](KvStatus Status) {
-               if (Now != Turn)
+             [this, Now = Generation](KvStatus Status) {
+               if (Now != Generation)
                  return;
                if (Status == KvStatus::Ok || Status == KvStatus::Conflict)
                  return read();
-               later(&JoinService::read, Status);
+               retryLater(&JoinService::read, Status);
              });
 }
 
 void JoinService::takeLease() {
-  Leases->grant(LeaseTime,
-                [this, Now = Turn](KvStatus Status, std::uint64_t Number) {
-                  if (Now != Turn)
-                    return;
-                  if (Status != KvStatus::Ok)
-                    return later(&JoinService::takeLease, Status);
-                  Lease = Number;
-                  enter();
-                });
+  Leases->grant(LeaseTime, [this, Now = Generation](KvStatus Status,
+                                                    std::uint64_t Number) {
+    if (Now != Generation)
+      return;
+    if (Status != KvStatus::Ok)
+      return retryLater(&JoinService::takeLease, Status);
+    Lease = Number;
+    writeEntry();
+  });
 }
 
-void JoinService::enter() {
+void JoinService::writeEntry() {
   std::string Address =
       formatHostPort({Config.Host, static_cast<int>(Config.PeerPort)});
   Leases->putLeased(
       NodePrefix + Config.NodeId, Address, Lease,
-      [this, Now = Turn](KvStatus Status, std::uint64_t Revision) {
-        if (Now != Turn)
+      [this, Now = Generation](KvStatus Status, std::uint64_t Revision) {
+        if (Now != Generation)
           return;
         if (Status == KvStatus::Conflict) {
           Lease = 0;
-          return later(&JoinService::takeLease, Status);
+          return retryLater(&JoinService::takeLease, Status);
         }
-        // A write whose answer was lost is made again: only a revision that
-        // is known can be an incarnation.
+        // Retry a write whose response was lost: the incarnation needs a known
+        // revision.
         if (Status != KvStatus::Ok)
-          return later(&JoinService::enter, Status);
+          return retryLater(&JoinService::writeEntry, Status);
         Failures = 0;
-        planRenewal();
+        scheduleRenewal();
         if (Incarnation != 0)
           return;
-        // Room below the next revision: a node raises its incarnation by one
-        // for each piece of news about itself.
-        constexpr std::uint64_t Room = 1 << 16;
-        Incarnation = Revision * Room;
+        // Leaves room for 65,536 incarnations per revision: a node raises its
+        // incarnation by one for each update about itself.
+        constexpr std::uint64_t IncarnationsPerRevision = 1 << 16;
+        Incarnation = Revision * IncarnationsPerRevision;
         Services.find<PeerService>(service::Peers).join(Key, Incarnation);
         Members->join(Incarnation);
         logEvent(LogLevel::Info, "fleet_joined", {{"incarnation", Revision}});
-        Timers->after(LonePeriod, [this] { readIfAlone(); });
+        Timers->after(LoneNodeDelay, [this] { readIfAlone(); });
       });
 }
 
-void JoinService::planRenewal() {
-  Timers->after(RenewPeriod, [this, Now = Turn] {
-    if (Now == Turn)
+void JoinService::scheduleRenewal() {
+  Timers->after(RenewPeriod, [this, Now = Generation] {
+    if (Now == Generation)
       renew();
   });
 }
 
-/// Who knows others hears of new nodes from them, and tries those again that it
-/// took for dead. Only a node that knows nobody needs the list once more.
+/// Reads the entries again if this node knows no other node. A node that knows
+/// others learns of new nodes from them, and probes nodes that it considers
+/// dead again.
 void JoinService::readIfAlone() {
   if (Members->ids().size() > 1)
     return;
   auto Done = [this](const KvItems &Found) {
     if (Found.Status == KvStatus::Ok)
-      taken(Found);
+      applyItems(Found);
   };
   Tree->range(Prefix, Done, wantsMore);
 }
 
 void JoinService::renew() {
   readIfAlone();
-  Leases->renew(Lease, [this, Now = Turn](KvStatus Status) {
-    if (Now != Turn)
+  Leases->renew(Lease, [this, Now = Generation](KvStatus Status) {
+    if (Now != Generation)
       return;
     if (Status == KvStatus::Conflict) {
       logEvent(LogLevel::Warning, "node_entry_lapsed", {{"lease", Lease}});
       Lease = 0;
       return takeLease();
     }
-    planRenewal();
+    scheduleRenewal();
   });
 }
 
--- a/src/join_service.h
+++ b/src/join_service.h
@@ -1,4 +1,4 @@
-/// \file join_service.h Lets a process join its fleet by way of the key-value
+/// \file join_service.h Joins a process to its fleet through the key-value
 /// service.
 #ifndef FULMARSTEP_JOIN_SERVICE_H
 #define FULMARSTEP_JOIN_SERVICE_H
@@ -13,17 +13,19 @@
 
 class MemberService;
 
-/// \return Whether \p Item is the entry of a node.
+/// \return Whether \p Item is a node's entry.
 bool isNodeEntry(const KvItem &Item);
 
-/// Keys of a fleet in the key-value service begin so.
+/// Prefix of all keys of a fleet in the key-value service.
 inline constexpr std::string_view FleetPrefix = "fulmarstep/";
 
-/// Fetches the secret that nodes share, or creates it when there is none;
-/// enters this process under a lease, so that strangers find each other
-/// although all seeds of the settings are gone; and takes the revision of that
-/// entry as its incarnation, which rises with each start of a process, whatever
-/// its clock says.
+/// Registers this process with its fleet in the key-value service.
+///
+/// Fetches the secret that all nodes share, or creates it when there is none.
+/// Writes an entry for this process under a lease, so that nodes find each
+/// other even when no seed of the settings is alive. Derives the incarnation
+/// from the revision of that entry: it rises with each start of a process,
+/// independently of its clock.
 class JoinService : public Service {
 public:
   JoinService(Kernel &K, const Settings &S, std::uint64_t Seed)
@@ -31,38 +33,40 @@
 
   void start() override;
 
-  /// Calls \p Fn with all keys of the fleet whenever they have been read.
-  void onItems(KvTree::ItemsFn Fn) { Hear.push_back(std::move(Fn)); }
+  /// Calls \p Fn with the keys of the fleet after each read.
+  void onItems(KvTree::ItemsFn Fn) { Subscribers.push_back(std::move(Fn)); }
 
 private:
   void read();
-  void taken(const KvItems &Found);
+  void applyItems(const KvItems &Found);
   void createKey();
   void takeLease();
-  void enter();
+  void writeEntry();
   void renew();
-  void later(void (JoinService::*Step)(), KvStatus Why);
-  void planRenewal();
+  void retryLater(void (JoinService::*Step)(), KvStatus Why);
+  void scheduleRenewal();
   void readIfAlone();
   void epochBegan();
   void confirmKey();
   void takeKey(const std::string &Kept);
 
-  Kernel &Services;                  ///< Finds the others.
-  const Settings &Config;            ///< Name and address of this node.
-  Random Rng;                        ///< Spreads repeated calls.
-  TimerService *Timers = nullptr;    ///< Time.
-  KvTree *Tree = nullptr;            ///< Reads.
-  KvStore *Store = nullptr;          ///< Creates the key.
-  KvLeases *Leases = nullptr;        ///< Enters this process.
-  MemberService *Members = nullptr;  ///< Learns of the others.
-  std::string Key;                   ///< The secret, once it is known.
-  std::uint64_t Lease = 0;           ///< Of the entry; 0: none.
-  std::uint64_t Turn = 0;            ///< Counts begins; answers to calls of an
-                                     ///< earlier one are not heard.
-  std::uint64_t Incarnation = 0;     ///< Of this process; 0: not joined yet.
-  int Failures = 0;                  ///< Calls in a row that failed.
-  std::vector<KvTree::ItemsFn> Hear; ///< Subscribers.
+  Kernel &Services;                 ///< Looks up other services.
+  const Settings &Config;           ///< Id and address of this node.
+  Random Rng;                       ///< Jitter of retries.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  KvTree *Tree = nullptr;           ///< Reads the keys of the fleet.
+  KvStore *Store = nullptr;         ///< Reads and creates the shared secret.
+  KvLeases *Leases = nullptr;       ///< Keeps the entry of this process.
+  MemberService *Members = nullptr; ///< Receives the addresses of other nodes.
+  std::string Key;                  ///< Shared secret; empty: not known yet.
+  std::uint64_t Lease = 0;          ///< Lease of the entry; 0: none.
+  std::uint64_t Generation = 0;     ///< Raised when the store's epoch changes;
+                                    ///< responses to calls of earlier
+                                    ///< generations are ignored.
+  std::uint64_t Incarnation = 0;    ///< Incarnation of this process; 0: not
+                                    ///< joined yet.
+  int Failures = 0;                 ///< Consecutive failed calls.
+  std::vector<KvTree::ItemsFn> Subscribers; ///< Called after each read.
 };
 
 } // namespace fulmar
