--- a/src/entry.cpp
+++ b/src/entry.cpp
@@ -1,4 +1,4 @@
-/// \file entry.cpp Which addresses callers are given.
+/// \file entry.cpp Selects the entry addresses that callers are given.
 #include "entry_func.h"
 
 #include <algorithm>
@@ -11,15 +11,15 @@
 /// Requests in progress that halve a node's weight.
 static constexpr double HalvingLoad = 64;
 
-/// A node that may be given out, with its drawn rank.
+/// A node whose address may be given out, with its random rank.
 struct Candidate {
   const MemberInfo *Info; ///< The node.
-  bool Near;              ///< In the caller's failure domain.
-  double Rank;            ///< The lower, the earlier.
+  bool SameDomain;        ///< Whether it is in the caller's failure domain.
+  double Rank;            ///< Candidates are sorted by ascending rank.
 };
 
-/// Draws an exponential rank: the lowest of several is each node's with a
-/// probability in proportion to its weight.
+/// Draws a rank from an exponential distribution: the probability that a node
+/// has the lowest rank is proportional to its weight.
 static double drawRank(const MemberInfo &Info, Random &Rng) {
   double Weight = Info.Strength / (1 + Info.Load / HalvingLoad);
   return -std::log(1 - randomUnit(Rng)) / Weight;
@@ -36,23 +36,26 @@
     Candidates.push_back({&Info, Info.FailureDomain == Query.FailureDomain,
                           drawRank(Info, Rng)});
   };
-  auto ConsiderAll = [&](bool Sound) {
+  auto ConsiderAll = [&](bool Healthy) {
     if (Query.SelfReady && memberServes(M.Self.State) &&
-        memberSound(M.Self) == Sound)
+        memberHealthy(M.Self) == Healthy)
       Consider(M.Self);
     for (const auto &[Id, Other] : M.Members) {
-      if (memberServes(Other.Info.State) && memberSound(Other.Info) == Sound)
+      if (memberServes(Other.Info.State) &&
+          memberHealthy(Other.Info) == Healthy)
         Consider(Other.Info);
     }
   };
-  ConsiderAll(/*Sound=*/true);
-  // When no node is sound, as in an outage of the key-value service, some
-  // requests can still be served, and a caller without an address has none.
+  ConsiderAll(/*Healthy=*/true);
+  // Without healthy nodes, as in an outage of the key-value service, the others
+  // can still serve some requests; a caller without an address gets none
+  // served.
   if (Candidates.empty())
-    ConsiderAll(/*Sound=*/false);
+    ConsiderAll(/*Healthy=*/false);
   std::sort(Candidates.begin(), Candidates.end(),
             [](const Candidate &A, const Candidate &B) {
-              return A.Near != B.Near ? A.Near : A.Rank < B.Rank;
+              return A.SameDomain != B.SameDomain ? A.SameDomain
+                                                  : A.Rank < B.Rank;
             });
   std::vector<std::string> Out;
   for (const Candidate &C : Candidates) {
@@ -60,8 +63,8 @@
       break;
     Out.push_back(callerAddress(*C.Info));
   }
-  // Alone, and about to stop or not ready: still the only address there is. A
-  // caller that is refused there at least hears why, and when to come back.
+  // This node is the only one known, and is stopping or not ready. Its address
+  // is still returned: a caller that it refuses learns why and when to retry.
   if (Out.empty())
     Out.push_back(callerAddress(M.Self));
   return Out;
--- a/src/entry_api.cpp
+++ b/src/entry_api.cpp
@@ -1,5 +1,5 @@
-/// \file entry_api.cpp Tells clients where to connect, the platform whether
-/// this node is ready, and operators what it counts.
+/// \file entry_api.cpp HTTP endpoints for entry addresses, readiness and
+/// metrics.
 #include "entry_api.h"
 
 #include <set>
@@ -18,9 +18,9 @@
 
 namespace fulmar {
 
-/// Questions have no bodies.
+/// Longest request body in bytes; requests to these endpoints have no body.
 static constexpr std::size_t MaxBody = 1024;
-/// Between two looks at whether callers should be sent here.
+/// Interval between checks whether callers should be sent to this node.
 static constexpr Duration FitnessPeriod = std::chrono::milliseconds(100);
 static constexpr const char *MetricsPath = "/metrics";
 static constexpr int NotFound = 404;
--- a/src/entry_api.h
+++ b/src/entry_api.h
@@ -1,5 +1,4 @@
-/// \file entry_api.h Tells clients where to connect, the platform whether this
-/// node is ready, and operators what it counts.
+/// \file entry_api.h HTTP endpoints for entry addresses, readiness and metrics.
 #ifndef FULMARSTEP_ENTRY_API_H
 #define FULMARSTEP_ENTRY_API_H
 
@@ -15,7 +14,8 @@
 class MemberService;
 class RouteFeed;
 
-/// Answers questions that are no requests.
+/// Serves entry addresses to callers, readiness to the platform and metrics to
+/// operators.
 class EntryApi : public Service {
 public:
   EntryApi(Kernel &K, const GatewaySettings &S, const WireFormat &W,
@@ -31,15 +31,15 @@
   void handle(const HttpExchangePtr &Exchange);
   void checkFitness();
 
-  Kernel &Services;                  ///< Finds the others.
-  const GatewaySettings &Config;     ///< Addresses and times.
-  const WireFormat &Wire;            ///< Translates.
-  Random Rng;                        ///< Spreads clients.
-  GatewayService *Gateway = nullptr; ///< Knows whether it is ready.
-  MemberService *Members = nullptr;  ///< Knows the other nodes.
-  RouteFeed *Routes = nullptr;       ///< Knows how old the configuration is.
-  std::vector<std::unique_ptr<HttpServer>> Servers; ///< One for each address.
-  bool WasReady = false;                            ///< At the latest look.
+  Kernel &Services;              ///< Looks up other services.
+  const GatewaySettings &Config; ///< Listening addresses and entry settings.
+  const WireFormat &Wire; ///< Encodes and decodes messages of the platform.
+  Random Rng;             ///< Spreads callers over the nodes.
+  GatewayService *Gateway = nullptr; ///< Source of readiness and counts.
+  MemberService *Members = nullptr;  ///< Source of entry addresses.
+  RouteFeed *Routes = nullptr;       ///< Source of the configuration's age.
+  std::vector<std::unique_ptr<HttpServer>> Servers; ///< One per address.
+  bool WasReady = false; ///< Readiness at the latest check.
 };
 
 } // namespace fulmar
--- a/src/entry_func.h
+++ b/src/entry_func.h
@@ -1,4 +1,4 @@
-/// \file entry_func.h Which addresses callers are given.
+/// \file entry_func.h Selects the entry addresses that callers are given.
 #ifndef FULMARSTEP_ENTRY_FUNC_H
 #define FULMARSTEP_ENTRY_FUNC_H
 
@@ -6,17 +6,17 @@
 
 namespace fulmar {
 
-/// What the answer to a caller depends on.
+/// Parameters of a caller's request for entry addresses.
 struct EntryQuery {
-  std::string FailureDomain; ///< The caller's, if it says so.
-  std::size_t Count = 3;     ///< Addresses wanted.
+  std::string FailureDomain; ///< Failure domain of the caller; empty: unknown.
+  std::size_t Count = 3;     ///< Maximum number of addresses.
   bool SelfReady = true;     ///< This node has a bundle and is not stopping.
 };
 
-/// Chooses addresses of nodes that serve: neither leaving, suspect nor dead;
-/// spread at random so that callers do not herd, with less weight for loaded
-/// nodes, the caller's failure domain first.
-/// \return `IP:PORT` of callers' ports; this node's own when it knows no other.
+/// Selects nodes that are neither leaving, suspect nor dead. Nodes of the
+/// caller's failure domain come first. The order is weighted random, with less
+/// weight for loaded nodes, so that callers do not all choose the same node.
+/// \return `IP:PORT` of caller ports; that of this node when it knows no other.
 std::vector<std::string> chooseEntries(const Membership &M,
                                        const EntryQuery &Query, Random &Rng);
 
--- a/src/member.cpp
+++ b/src/member.cpp
@@ -1,4 +1,4 @@
-/// \file member.cpp Membership by probing and gossip.
+/// \file member.cpp Membership by probes and gossip.
 #include "member_func.h"
 
 #include <algorithm>
@@ -9,55 +9,60 @@
 
 namespace fulmar {
 
+/// Members that are asked for an indirect probe, and that a refutation is sent
+/// to.
 static constexpr std::size_t IndirectProbes = 3;
-/// News carried by one message, the sender's own entry aside.
-static constexpr std::size_t NewsPerMessage = 6;
-/// Random entries carried when there is little news: they mend what was lost.
-static constexpr std::size_t FillersPerMessage = 2;
-/// Entries of one message of a list; fits a datagram of 1,400 bytes.
-static constexpr std::size_t ListPerMessage = 14;
-/// Members told at once when this node leaves.
-static constexpr std::size_t LeaveFanOut = 8;
-/// Seeds asked for their members by a node that joins. A list is as long as the
-/// fleet is large, and each but the first one tells little that is new.
+/// Updates carried by one message, not counting the sender's own entry.
+static constexpr std::size_t UpdatesPerMessage = 6;
+/// Random entries that fill up a message with fewer pending updates, to repair
+/// the loss of earlier messages.
+static constexpr std::size_t RandomEntriesPerMessage = 2;
+/// Entries of one List message; they fit a datagram of 1,400 bytes.
+static constexpr std::size_t EntriesPerListMessage = 14;
+/// Members that a change of this node's own state is sent to at once.
+static constexpr std::size_t AnnounceFanOut = 8;
+/// Seeds that a joining node asks for their members. A list grows with the size
+/// of the fleet, and all lists but the first one add little.
 static constexpr std::size_t JoinFanOut = 4;
-/// Seeds that it tells of itself. In a fleet up to this size every pair of
-/// nodes that start together knows each other after one message.
-static constexpr std::size_t JoinAnnounced = 128;
-/// After it has joined, a node compares its beliefs with those of some other
-/// one after this time, and again after pauses that double up to the last one
-/// while that brings nothing new.
+/// Seeds that a joining node announces itself to. In a fleet up to this size
+/// each pair of nodes that start together knows each other after one message.
+static constexpr std::size_t HelloFanOut = 128;
+/// First and longest interval between comparisons of the member state with that
+/// of a random node. The interval doubles while a comparison brings no change.
 ///
-/// A message carries a few news whatever the size of the fleet. Where much of a
-/// large fleet changes at once, gossip alone takes half a minute; meanwhile
-/// nodes choose different coordinators and readers, and callers are sent to few
-/// (test "a large part of a fleet changes at once").
-static constexpr Duration FirstPull = std::chrono::milliseconds(300);
-static constexpr Duration LastPullPause = std::chrono::seconds(1);
-/// Beliefs are compared by parts of about so many members; the digests of all
-/// parts fit a datagram.
+/// A message carries a few updates, whatever the size of the fleet. When a
+/// large part of a large fleet changes at once, gossip alone takes half a
+/// minute; meanwhile nodes choose different coordinators and readers, and
+/// callers are sent to few nodes (test "a large part of a fleet changes at
+/// once").
+static constexpr Duration FirstPullDelay = std::chrono::milliseconds(300);
+static constexpr Duration MaxPullInterval = std::chrono::seconds(1);
+/// Average number of members in a part of the compared state, and the maximum
+/// number of parts: the digests of all parts fit a datagram.
 static constexpr std::size_t MembersPerPart = 16;
-static constexpr std::size_t MostParts = 64;
-/// Each news item is passed on this many times the logarithm of the fleet.
-static constexpr double NewsFactor = 3;
-/// Every so many periods a dead member or a seed is tried.
-static constexpr std::uint64_t HealEvery = 5;
-/// Dead members are kept for longer than regions lose each other.
-static constexpr Duration DeadLife = std::chrono::hours(2);
-/// Seeds that are looked at in one of these periods.
-static constexpr std::size_t SeedsLookedAt = 8;
-static constexpr Duration ErrandLife = std::chrono::seconds(5);
-/// Random draws for each member wanted, before fewer are good enough.
+static constexpr std::size_t MaxDigestParts = 64;
+/// An update is sent this many times the binary logarithm of the fleet size.
+static constexpr double SendsFactor = 3;
+/// Interval between attempts to reach a dead member and a seed, in periods.
+static constexpr std::uint64_t LostNodePeriods = 5;
+/// Dead members are kept for longer than a network partition between regions
+/// lasts.
+static constexpr Duration DeadRetention = std::chrono::hours(2);
+/// Seeds that are checked in one attempt to reach lost nodes.
+static constexpr std::size_t SeedsPerAttempt = 8;
+static constexpr Duration RelayedProbeLifetime = std::chrono::seconds(5);
+/// Maximum random draws per wanted member; then fewer members are returned.
 static constexpr std::size_t DrawsPerMember = 8;
 
-static int newsCopies(const Membership &M) {
+static int transmissionsPerUpdate(const Membership &M) {
   double Size = static_cast<double>(M.Members.size() + 2);
-  return static_cast<int>(std::ceil(NewsFactor * std::log2(Size)));
+  return static_cast<int>(std::ceil(SendsFactor * std::log2(Size)));
 }
 
-static Duration suspicionTime(const Membership &M) {
-  // News of the suspicion must reach the suspect, and its refutation must come
-  // back, before the time is up; both take a logarithm of the fleet.
+static Duration suspicionTimeout(const Membership &M) {
+  // The suspicion must reach the suspect, and its refutation must come back,
+  // before the timeout. Both take time in proportion to the logarithm of the
+  // fleet size.
   double Size = static_cast<double>(M.Members.size() + 2);
   return M.Period * static_cast<int>(std::ceil(2 + std::log2(Size)));
 }
@@ -66,32 +71,33 @@
   return {Info.Host, Info.PeerPort};
 }
 
-static bool answers(MemberState State) {
+static bool isResponsive(MemberState State) {
   return State == MemberState::Alive || State == MemberState::Leaving;
 }
 
-/// Marks a belief as news.
-static void makeNews(Membership &M, const std::string &Id, Member &Other) {
-  M.News.erase({Other.NewsLeft, Id});
-  Other.NewsLeft = newsCopies(M);
-  M.News.insert({Other.NewsLeft, Id});
+/// Queues the state of a member for gossip.
+static void queueUpdate(Membership &M, const std::string &Id, Member &Other) {
+  M.News.erase({Other.SendsLeft, Id});
+  Other.SendsLeft = transmissionsPerUpdate(M);
+  M.News.insert({Other.SendsLeft, Id});
 }
 
-/// Adds news, the least often told first, and random entries to fill up. Only
-/// what is told is looked at, however much there is.
-static void addNews(Membership &M, MemberMessage &Message) {
-  std::vector<NewsRank> Told;
-  while (Told.size() < NewsPerMessage && !M.News.empty())
-    Told.push_back(M.News.extract(M.News.begin()).value());
-  for (NewsRank &News : Told) {
-    Member &Other = M.Members.at(News.Id);
+/// Adds pending updates, the least often sent first, and random entries to fill
+/// up. The cost depends on what is sent, not on the number of pending updates.
+static void addUpdates(Membership &M, MemberMessage &Message) {
+  std::vector<UpdateRank> Sent;
+  while (Sent.size() < UpdatesPerMessage && !M.News.empty())
+    Sent.push_back(M.News.extract(M.News.begin()).value());
+  for (UpdateRank &Rank : Sent) {
+    Member &Other = M.Members.at(Rank.Id);
     Message.Updates.push_back(Other.Info);
-    Other.NewsLeft = --News.Left;
-    if (News.Left > 0)
-      M.News.insert(std::move(News));
+    Other.SendsLeft = --Rank.Left;
+    if (Rank.Left > 0)
+      M.News.insert(std::move(Rank));
   }
-  std::size_t Size = Told.size();
-  for (std::size_t I = Size; I < FillersPerMessage && !M.Ids.empty(); ++I) {
+  std::size_t Size = Sent.size();
+  for (std::size_t I = Size; I < RandomEntriesPerMessage && !M.Ids.empty();
+       ++I) {
     const std::string &Id = M.Ids[randomIndex(M.Rng, M.Ids.size())];
     Message.Updates.push_back(M.Members.at(Id).Info);
   }
@@ -105,7 +111,7 @@
   Message.Sequence = Sequence;
   Message.Target = std::move(Target);
   Message.Updates.push_back(M.Self);
-  addNews(M, Message);
+  addUpdates(M, Message);
   ++M.Counts.Sent;
   Out.push_back(SendMemberAction{To, std::move(Message)});
 }
@@ -137,7 +143,7 @@
   return hash64(Id) % Parts;
 }
 
-/// \return A number that equal beliefs share.
+/// \return A digest of the state of a member, equal for equal states.
 static std::uint64_t digestOf(const MemberInfo &Info) {
   std::uint64_t Flags = static_cast<std::uint64_t>(Info.State) * 4 +
                         (Info.Unfit ? 2 : 0) + (Info.CannotRead ? 1 : 0);
@@ -148,8 +154,8 @@
                                          std::size_t Parts) {
   std::vector<std::uint64_t> Out(Parts);
   auto Add = [&](const MemberInfo &Info) {
-    // The dead are not introduced to those who never knew them, and are
-    // forgotten by each node in its own time.
+    // Dead members are not announced to nodes that never knew them, and each
+    // node drops them at a different time.
     if (Info.State != MemberState::Dead)
       Out[partOf(Info.Id, Parts)] += digestOf(Info);
   };
@@ -162,12 +168,12 @@
 std::vector<MemberInfo> randomMembers(Membership &M, std::size_t Size) {
   std::vector<MemberInfo> Out;
   std::set<std::size_t> Drawn;
-  // Several draws for each member wanted: some are dead, some drawn twice.
+  // Several draws per wanted member: some members are dead, or drawn twice.
   std::size_t Draws = std::min(M.Ids.size(), Size) * DrawsPerMember;
   for (std::size_t I = 0; I < Draws && Out.size() < Size; ++I) {
     std::size_t Index = randomIndex(M.Rng, M.Ids.size());
     const MemberInfo &Info = M.Members.at(M.Ids[Index]).Info;
-    if (answers(Info.State) && Drawn.insert(Index).second)
+    if (isResponsive(Info.State) && Drawn.insert(Index).second)
       Out.push_back(Info);
   }
   return Out;
@@ -181,54 +187,55 @@
   }
 }
 
-/// Takes in what is said of this node itself.
-static void heardOfSelf(Membership &M, const MemberInfo &Said) {
-  bool Denied =
-      Said.State == MemberState::Suspect || Said.State == MemberState::Dead;
-  if (!Denied || Said.Incarnation < M.Self.Incarnation ||
+/// Refutes an update that reports this node as suspect or dead.
+static void refuteIfFailed(Membership &M, const MemberInfo &Update) {
+  bool ReportedFailed =
+      Update.State == MemberState::Suspect || Update.State == MemberState::Dead;
+  if (!ReportedFailed || Update.Incarnation < M.Self.Incarnation ||
       M.Self.State == MemberState::Dead)
     return;
-  // We were paused or cut off, and the others gave us up. Only a higher
-  // incarnation, which nobody but we may choose, overrules that.
-  M.Self.Incarnation = Said.Incarnation + 1;
+  // This node was paused or partitioned, and the others consider it failed.
+  // Only a higher incarnation overrides that, and only this node may raise it.
+  M.Self.Incarnation = Update.Incarnation + 1;
   ++M.Counts.Refutations;
 }
 
-static bool overrules(const MemberInfo &New, const MemberInfo &Old) {
+static bool supersedes(const MemberInfo &New, const MemberInfo &Old) {
   if (New.Incarnation != Old.Incarnation)
     return New.Incarnation > Old.Incarnation;
   return New.State > Old.State;
 }
 
-/// \param Gossip whether it is passed on. What was asked for is not: whoever
-/// lacks it asks, too.
-static void learn(Membership &M, const MemberInfo &Said, bool Gossip,
-                  TimePoint Now, MemberActions &Out) {
-  if (Said.Id == M.Self.Id)
-    return heardOfSelf(M, Said);
-  auto [It, Fresh] = M.Members.try_emplace(Said.Id);
+/// Applies an update about a member.
+/// \param Forward whether the update is gossiped. Responses to Join are not:
+/// nodes that lack an update request it as well.
+static void applyUpdate(Membership &M, const MemberInfo &Update, bool Forward,
+                        TimePoint Now, MemberActions &Out) {
+  if (Update.Id == M.Self.Id)
+    return refuteIfFailed(M, Update);
+  auto [It, Fresh] = M.Members.try_emplace(Update.Id);
   Member &Other = It->second;
-  if (!Fresh && !overrules(Said, Other.Info))
+  if (!Fresh && !supersedes(Update, Other.Info))
     return;
-  // The dead are not introduced to those who never knew them.
-  if (Fresh && Said.State == MemberState::Dead) {
+  // Dead members are not added to the view of nodes that never knew them.
+  if (Fresh && Update.State == MemberState::Dead) {
     M.Members.erase(It);
     return;
   }
   if (Fresh)
-    M.Ids.push_back(Said.Id);
-  bool Changed = Fresh || Said.State != Other.Info.State ||
-                 Said.Unfit != Other.Info.Unfit ||
-                 Said.CannotRead != Other.Info.CannotRead;
+    M.Ids.push_back(Update.Id);
+  bool Changed = Fresh || Update.State != Other.Info.State ||
+                 Update.Unfit != Other.Info.Unfit ||
+                 Update.CannotRead != Other.Info.CannotRead;
   MemberState Before = Fresh ? MemberState::Invalid : Other.Info.State;
-  Other.Info = Said;
-  if (Gossip)
-    makeNews(M, Said.Id, Other);
+  Other.Info = Update;
+  if (Forward)
+    queueUpdate(M, Update.Id, Other);
   if (!Changed)
     return;
   Other.Since = Now;
   ++M.Changes;
-  Out.push_back(MemberChangedAction{Said, Fresh, Before});
+  Out.push_back(MemberChangedAction{Update, Fresh, Before});
 }
 
 static void setState(Membership &M, Member &Other, MemberState State,
@@ -236,16 +243,17 @@
   MemberState Before = std::exchange(Other.Info.State, State);
   Other.Since = Now;
   ++M.Changes;
-  makeNews(M, Other.Info.Id, Other);
+  queueUpdate(M, Other.Info.Id, Other);
   Out.push_back(MemberChangedAction{Other.Info, /*Fresh=*/false, Before});
 }
 
-/// Judges the probe that has just had its whole period.
-static void closeProbe(Membership &M, TimePoint Now, MemberActions &Out) {
+/// Ends the probe of the period that is over; raises a suspicion if there was
+/// no ack.
+static void finishProbe(Membership &M, TimePoint Now, MemberActions &Out) {
   auto Found = M.Members.find(M.Probe.Target);
   bool Silent = Found != M.Members.end() && !M.Probe.Answered;
   M.Probe = ProbeState();
-  if (!Silent || !answers(Found->second.Info.State))
+  if (!Silent || !isResponsive(Found->second.Info.State))
     return;
   ++M.Counts.Suspicions;
   setState(M, Found->second, MemberState::Suspect, Now, Out);
@@ -280,7 +288,7 @@
   const MemberInfo &Info = M.Members.at(M.Probe.Target).Info;
   send(M, addressOf(Info), MemberMessageKind::Ping, M.Probe.Sequence,
        M.Probe.Target, Out);
-  // The target must hear what is said of it, to be able to refute.
+  // The target must learn of the suspicion to be able to refute it.
   if (Info.State == MemberState::Suspect)
     std::get<SendMemberAction>(Out.back()).Message.Updates.push_back(Info);
 }
@@ -304,9 +312,9 @@
   });
 }
 
-/// Tries one dead member, and a seed that nobody lives at, so that two halves
-/// of a split fleet find each other again.
-static void heal(Membership &M, MemberActions &Out) {
+/// Contacts a dead member, and a seed at which no live member is known, so that
+/// the sides of a network partition find each other again.
+static void contactLostNodes(Membership &M, MemberActions &Out) {
   std::vector<const Member *> Dead;
   for (const auto &[Id, Other] : M.Members) {
     if (Other.Info.State == MemberState::Dead)
@@ -321,12 +329,12 @@
   }
   if (M.Seeds.empty())
     return;
-  // Some seeds from a random one on: nearly all are known, and to look for each
-  // of them would take the square of the fleet.
+  // Checks some seeds from a random one on: nearly all are known, and checking
+  // all of them would take time in proportion to the square of the fleet size.
   auto Begin = std::next(
       M.Seeds.begin(),
       static_cast<std::ptrdiff_t>(randomIndex(M.Rng, M.Seeds.size())));
-  for (std::size_t I = 0; I < std::min(M.Seeds.size(), SeedsLookedAt); ++I) {
+  for (std::size_t I = 0; I < std::min(M.Seeds.size(), SeedsPerAttempt); ++I) {
     const HostPort &Seed = *Begin;
     if (++Begin == M.Seeds.end())
       Begin = M.Seeds.begin();
@@ -337,41 +345,40 @@
 }
 
 static void expire(Membership &M, TimePoint Now, MemberActions &Out) {
-  Duration Patience = suspicionTime(M);
+  Duration Timeout = suspicionTimeout(M);
   for (auto &[Id, Other] : M.Members) {
-    if (Other.Info.State != MemberState::Suspect ||
-        Now - Other.Since < Patience)
+    if (Other.Info.State != MemberState::Suspect || Now - Other.Since < Timeout)
       continue;
     ++M.Counts.Deaths;
     setState(M, Other, MemberState::Dead, Now, Out);
   }
   std::erase_if(M.Members, [&M, Now](const auto &Entry) {
-    bool Forgotten = Entry.second.Info.State == MemberState::Dead &&
-                     Now - Entry.second.Since > DeadLife;
-    if (Forgotten) {
+    bool Expired = Entry.second.Info.State == MemberState::Dead &&
+                   Now - Entry.second.Since > DeadRetention;
+    if (Expired) {
       ++M.Changes;
-      M.News.erase({Entry.second.NewsLeft, Entry.first});
+      M.News.erase({Entry.second.SendsLeft, Entry.first});
       std::erase(M.Ids, Entry.first);
     }
-    return Forgotten;
+    return Expired;
   });
-  std::erase_if(M.Errands, [Now](const auto &Entry) {
+  std::erase_if(M.RelayedProbes, [Now](const auto &Entry) {
     return Entry.second.Expires <= Now;
   });
 }
 
-/// Asks some other node what it believes and this one does not.
+/// Requests from a random node the member states that differ from this node's.
 static void pull(Membership &M, TimePoint Now, MemberActions &Out) {
   std::size_t Parts = std::clamp<std::size_t>(
-      (M.Members.size() + 1) / MembersPerPart, 1, MostParts);
+      (M.Members.size() + 1) / MembersPerPart, 1, MaxDigestParts);
   for (const MemberInfo &Other : randomMembers(M, 1)) {
     send(M, addressOf(Other), MemberMessageKind::Join, 0, "", Out);
     std::get<SendMemberAction>(Out.back()).Message.Digests =
         memberDigests(M, Parts);
   }
   double Spread = 0.5 + randomUnit(M.Rng);
-  M.NextPull = Now + fromMs(toMs(M.PullPause) * Spread);
-  M.PullPause = std::min(2 * M.PullPause, LastPullPause);
+  M.NextPull = Now + fromMs(toMs(M.PullInterval) * Spread);
+  M.PullInterval = std::min(2 * M.PullInterval, MaxPullInterval);
 }
 
 void memberTick(Membership &M, TimePoint Now, MemberActions &Out) {
@@ -382,8 +389,9 @@
     probeIndirectly(M, Out);
   if (Now < M.NextPeriod)
     return;
-  // A process that was paused wakes up with every probe overdue. It has heard
-  // nothing because it did not listen, so it must not accuse anybody.
+  // A process that was paused resumes with all probes overdue. It did not
+  // receive any message while paused, so missing acks must not raise
+  // suspicions.
   bool WasPaused = M.Periods > 0 && Now - M.NextPeriod > M.Period;
   if (WasPaused) {
     M.Probe = ProbeState();
@@ -392,12 +400,12 @@
         Other.Since = Now;
     }
   }
-  closeProbe(M, Now, Out);
+  finishProbe(M, Now, Out);
   expire(M, Now, Out);
   beginProbe(M, Now, Out);
-  // Until it knows somebody, a node tries to join in every period.
-  if (M.Periods % HealEvery == 0 || M.Members.empty())
-    heal(M, Out);
+  // A node that knows no other node tries to join in every period.
+  if (M.Periods % LostNodePeriods == 0 || M.Members.empty())
+    contactLostNodes(M, Out);
   ++M.Periods;
   M.NextPeriod = Now + M.Period;
 }
@@ -411,19 +419,20 @@
   return Waiting ? std::min(Due, M.Probe.Sent + M.Timeout) : Due;
 }
 
-/// Sends what is believed of the members, or of those in parts that the asker
-/// has other beliefs of. What died is told to who takes it for alive.
+/// Sends the states of all members, or of the members in those parts whose
+/// digests differ from the requester's. Dead members are included only in the
+/// latter case, as the requester may consider them alive.
 static void sendList(Membership &M, const HostPort &To,
-                     const std::vector<std::uint64_t> &Theirs,
+                     const std::vector<std::uint64_t> &PeerDigests,
                      MemberActions &Out) {
-  std::vector<std::uint64_t> Mine;
-  if (!Theirs.empty())
-    Mine = memberDigests(M, Theirs.size());
+  std::vector<std::uint64_t> OwnDigests;
+  if (!PeerDigests.empty())
+    OwnDigests = memberDigests(M, PeerDigests.size());
   auto Differs = [&](const std::string &Id) {
-    if (Theirs.empty())
+    if (PeerDigests.empty())
       return true;
-    std::size_t Part = partOf(Id, Theirs.size());
-    return Mine[Part] != Theirs[Part];
+    std::size_t Part = partOf(Id, PeerDigests.size());
+    return OwnDigests[Part] != PeerDigests[Part];
   };
   MemberMessage Part;
   auto Flush = [&] {
@@ -432,19 +441,19 @@
     Part.Updates.clear();
   };
   Part.Kind = MemberMessageKind::List;
-  bool SelfAlone = Theirs.empty() || Differs(M.Self.Id);
+  bool OnlySelf = PeerDigests.empty() || Differs(M.Self.Id);
   for (const auto &[Id, Other] : M.Members) {
-    if ((Theirs.empty() && Other.Info.State == MemberState::Dead) ||
+    if ((PeerDigests.empty() && Other.Info.State == MemberState::Dead) ||
         !Differs(Id))
       continue;
     if (Part.Updates.empty())
       Part.Updates.push_back(M.Self);
     Part.Updates.push_back(Other.Info);
-    if (Part.Updates.size() >= ListPerMessage)
+    if (Part.Updates.size() >= EntriesPerListMessage)
       Flush();
-    SelfAlone = false;
+    OnlySelf = false;
   }
-  if (SelfAlone)
+  if (OnlySelf)
     Part.Updates.push_back(M.Self);
   if (!Part.Updates.empty())
     Flush();
@@ -455,24 +464,25 @@
   if (!M.Probe.Target.empty() && Message.Sequence == M.Probe.Sequence &&
       Message.Target == M.Probe.Target)
     M.Probe.Answered = true;
-  auto Found = M.Errands.find(Message.Sequence);
-  if (Found == M.Errands.end())
+  auto Found = M.RelayedProbes.find(Message.Sequence);
+  if (Found == M.RelayedProbes.end())
     return;
-  auto Asker = M.Members.find(Found->second.For);
-  if (Asker != M.Members.end())
-    send(M, addressOf(Asker->second.Info), MemberMessageKind::Ack,
+  auto Requester = M.Members.find(Found->second.For);
+  if (Requester != M.Members.end())
+    send(M, addressOf(Requester->second.Info), MemberMessageKind::Ack,
          Found->second.Sequence, Message.Target, Out);
-  M.Errands.erase(Found);
+  M.RelayedProbes.erase(Found);
 }
 
-static void pingForOther(Membership &M, const MemberMessage &Message,
-                         const std::string &Asker, TimePoint Now,
-                         MemberActions &Out) {
+static void probeForOther(Membership &M, const MemberMessage &Message,
+                          const std::string &Requester, TimePoint Now,
+                          MemberActions &Out) {
   auto Target = M.Members.find(Message.Target);
   if (Target == M.Members.end())
     return;
   std::uint64_t Sequence = ++M.LastSequence;
-  M.Errands[Sequence] = {Asker, Message.Sequence, Now + ErrandLife};
+  M.RelayedProbes[Sequence] = {Requester, Message.Sequence,
+                               Now + RelayedProbeLifetime};
   send(M, addressOf(Target->second.Info), MemberMessageKind::Ping, Sequence,
        Message.Target, Out);
 }
@@ -482,62 +492,64 @@
   if (Message.Updates.empty())
     return;
   std::uint64_t Before = M.Self.Incarnation;
-  bool Gossip = Message.Kind != MemberMessageKind::List;
+  bool Forward = Message.Kind != MemberMessageKind::List;
   std::uint64_t ChangesBefore = M.Changes;
-  for (const MemberInfo &Said : Message.Updates)
-    learn(M, Said, Gossip, Now, Out);
-  // Much is changing: gossip is behind, and so is the next node that is asked.
-  if (!Gossip && M.Changes != ChangesBefore)
-    M.PullPause = FirstPull;
+  for (const MemberInfo &Update : Message.Updates)
+    applyUpdate(M, Update, Forward, Now, Out);
+  // Many members are changing: gossip lags behind, and so does the node that is
+  // asked next.
+  if (!Forward && M.Changes != ChangesBefore)
+    M.PullInterval = FirstPullDelay;
   const MemberInfo &Sender = Message.Updates.front();
   auto Known = M.Members.find(Sender.Id);
   if (Known != M.Members.end())
     Known->second.Info.Load = Sender.Load;
-  HostPort Back = addressOf(Sender);
+  HostPort ReplyTo = addressOf(Sender);
   switch (Message.Kind) {
   case MemberMessageKind::Ping:
-    // A node started anew on this address is not the one that was meant.
+    // A node newly started at this address may not be the probed one.
     if (Message.Target == M.Self.Id)
-      send(M, Back, MemberMessageKind::Ack, Message.Sequence, Message.Target,
+      send(M, ReplyTo, MemberMessageKind::Ack, Message.Sequence, Message.Target,
            Out);
     break;
   case MemberMessageKind::PingRequest:
-    pingForOther(M, Message, Sender.Id, Now, Out);
+    probeForOther(M, Message, Sender.Id, Now, Out);
     break;
   case MemberMessageKind::Ack:
     acknowledged(M, Message, Out);
     break;
   case MemberMessageKind::Join:
-    if (Message.Digests.size() <= MostParts)
-      sendList(M, Back, Message.Digests, Out);
+    if (Message.Digests.size() <= MaxDigestParts)
+      sendList(M, ReplyTo, Message.Digests, Out);
     break;
   case MemberMessageKind::Hello:
-    send(M, Back, MemberMessageKind::News, 0, "", Out);
+    send(M, ReplyTo, MemberMessageKind::Gossip, 0, "", Out);
     break;
   case MemberMessageKind::List:
-  case MemberMessageKind::News:
+  case MemberMessageKind::Gossip:
   case MemberMessageKind::Count:
   case MemberMessageKind::Invalid:
     break;
   }
-  // Somebody speaks who is given up here, and does not know it: tell it, so
-  // that it can refute. Otherwise a healed split would stay split.
-  if (Known != M.Members.end() && !answers(Known->second.Info.State) &&
+  // The sender is suspect or dead in this view and does not know it. Tell it,
+  // so that it can refute; otherwise a healed partition would stay partitioned.
+  if (Known != M.Members.end() && !isResponsive(Known->second.Info.State) &&
       Known->second.Info.Incarnation >= Sender.Incarnation) {
-    MemberInfo Belief = Known->second.Info;
-    send(M, Back, MemberMessageKind::News, 0, "", Out);
-    std::get<SendMemberAction>(Out.back()).Message.Updates.push_back(Belief);
+    MemberInfo Reported = Known->second.Info;
+    send(M, ReplyTo, MemberMessageKind::Gossip, 0, "", Out);
+    std::get<SendMemberAction>(Out.back()).Message.Updates.push_back(Reported);
   }
-  // Whoever denied us hears at once, and by gossip all others will.
+  // This node refuted a suspicion: send the new incarnation to some members at
+  // once; gossip carries it to the others.
   if (M.Self.Incarnation == Before)
     return;
   for (const MemberInfo &Other : randomMembers(M, IndirectProbes))
-    send(M, addressOf(Other), MemberMessageKind::News, 0, "", Out);
+    send(M, addressOf(Other), MemberMessageKind::Gossip, 0, "", Out);
 }
 
 static void announce(Membership &M, MemberActions &Out) {
-  for (const MemberInfo &Other : randomMembers(M, LeaveFanOut))
-    send(M, addressOf(Other), MemberMessageKind::News, 0, "", Out);
+  for (const MemberInfo &Other : randomMembers(M, AnnounceFanOut))
+    send(M, addressOf(Other), MemberMessageKind::Gossip, 0, "", Out);
 }
 
 void memberLeaving(Membership &M, TimePoint, MemberActions &Out) {
@@ -549,17 +561,18 @@
 void memberJoin(Membership &M, std::uint64_t Incarnation, TimePoint Now,
                 MemberActions &Out) {
   M.Self.Incarnation = Incarnation;
-  // Until it knows the others, a node would take every duty for its own.
+  // Contact many seeds at once: until it knows the others, a node would
+  // consider itself responsible for everything.
   std::vector<HostPort> Seeds(M.Seeds.begin(), M.Seeds.end());
   std::shuffle(Seeds.begin(), Seeds.end(), M.Rng);
-  Seeds.resize(std::min(Seeds.size(), JoinAnnounced));
+  Seeds.resize(std::min(Seeds.size(), HelloFanOut));
   for (std::size_t I = 0; I < Seeds.size(); ++I)
     send(M, Seeds[I],
          I < JoinFanOut ? MemberMessageKind::Join : MemberMessageKind::Hello, 0,
          "", Out);
   M.NextPeriod = Now + M.Period;
-  M.PullPause = FirstPull;
-  M.NextPull = Now + fromMs(toMs(FirstPull) * (0.5 + randomUnit(M.Rng)));
+  M.PullInterval = FirstPullDelay;
+  M.NextPull = Now + fromMs(toMs(FirstPullDelay) * (0.5 + randomUnit(M.Rng)));
 }
 
 void memberFitness(Membership &M, bool Fit, bool CanRead, MemberActions &Out) {
@@ -568,12 +581,12 @@
   M.Self.Unfit = !Fit;
   M.Self.CannotRead = !CanRead;
   ++M.Changes;
-  // Of two beliefs with equal incarnations the first one heard would stay.
+  // Without a higher incarnation, receivers would keep the earlier state.
   ++M.Self.Incarnation;
   announce(M, Out);
 }
 
-void memberGoodbye(Membership &M, TimePoint, MemberActions &Out) {
+void memberStop(Membership &M, TimePoint, MemberActions &Out) {
   M.Self.State = MemberState::Dead;
   ++M.Changes;
   announce(M, Out);
--- a/src/member_base.h
+++ b/src/member_base.h
@@ -1,4 +1,4 @@
-/// \file member_base.h State of membership on one node.
+/// \file member_base.h Membership state of one node.
 #ifndef FULMARSTEP_MEMBER_BASE_H
 #define FULMARSTEP_MEMBER_BASE_H
 
@@ -15,84 +15,85 @@
 
 namespace fulmar {
 
-/// A node that this one knows of.
+/// Another node in the membership of this node.
 struct Member {
-  MemberInfo Info;   ///< Latest belief.
-  TimePoint Since{}; ///< When its state last changed here.
-  int NewsLeft = 0;  ///< How often this belief is still passed on.
+  MemberInfo Info;   ///< Latest known state.
+  TimePoint Since{}; ///< When its state last changed in this view.
+  int SendsLeft = 0; ///< Remaining transmissions of this update.
 };
 
-/// The probe of the present period.
+/// The probe of the current period.
 struct ProbeState {
-  std::string Target;         ///< Whom; empty: nobody.
-  std::uint64_t Sequence = 0; ///< Its number.
-  bool Answered = false;      ///< An ack came.
-  bool Indirect = false;      ///< Others were asked to probe too.
-  TimePoint Sent{};           ///< When.
+  std::string Target;         ///< Id of the probed node; empty: none.
+  std::uint64_t Sequence = 0; ///< Sequence number of the probe.
+  bool Answered = false;      ///< Whether an ack was received.
+  bool Indirect = false;      ///< Whether indirect probes were requested.
+  TimePoint Sent{};           ///< When it was sent.
 };
 
-/// A probe made for another node.
-struct Errand {
-  std::string For;            ///< Who asked.
-  std::uint64_t Sequence = 0; ///< Its number there.
-  TimePoint Expires{};        ///< When it is forgotten.
+/// An indirect probe on behalf of another node.
+struct RelayedProbe {
+  std::string For;            ///< Id of the node that requested it.
+  std::uint64_t Sequence = 0; ///< Sequence number at that node.
+  TimePoint Expires{};        ///< When it is dropped.
 };
 
-/// Counts for operators and for docs/CAPACITY.md.
+/// Counters for operators and for docs/CAPACITY.md.
 struct MemberCounts {
   std::uint64_t Sent = 0;        ///< Messages sent.
-  std::uint64_t Suspicions = 0;  ///< Members that this node began to suspect.
-  std::uint64_t Deaths = 0;      ///< Members that this node declared dead.
-  std::uint64_t Refutations = 0; ///< Times that this node refuted its death.
+  std::uint64_t Suspicions = 0;  ///< Suspicions raised by this node.
+  std::uint64_t Deaths = 0;      ///< Members declared dead by this node.
+  std::uint64_t Refutations = 0; ///< Times this node refuted a suspicion of
+                                 ///< itself, or its death.
 };
 
-/// Where a belief stands among those to be passed on: the one that was told
-/// least often first.
-struct NewsRank {
-  int Left = 0;   ///< How often it is still passed on.
-  std::string Id; ///< Whom it is about.
+/// Order of pending updates: the one with the most remaining transmissions
+/// first.
+struct UpdateRank {
+  int Left = 0;   ///< Remaining transmissions.
+  std::string Id; ///< Id of the member that the update is about.
 
-  bool operator<(const NewsRank &Other) const {
+  bool operator<(const UpdateRank &Other) const {
     return std::tie(Other.Left, Id) < std::tie(Left, Other.Id);
   }
 };
 
-/// Membership on one node.
+/// Membership as one node sees it.
 struct Membership {
   MemberInfo Self;                       ///< This node.
-  std::map<std::string, Member> Members; ///< The others, by id.
-  std::set<HostPort> Seeds;              ///< Addresses to join through.
-  std::set<NewsRank> News;      ///< Beliefs to be passed on, freshest first.
-  std::vector<std::string> Ids; ///< All members, in any order, to draw from.
-  Duration Period = std::chrono::seconds(1);         ///< Of one probe.
-  Duration Timeout = std::chrono::milliseconds(300); ///< Until indirect ones.
-  Random Rng;                     ///< For the order of probes.
-  std::vector<std::string> Order; ///< Still to be probed in this round.
-  ProbeState Probe;               ///< The present one.
-  std::map<std::uint64_t, Errand> Errands; ///< By own sequence.
-  std::uint64_t LastSequence = 0;          ///< Counts probes.
-  TimePoint NextPeriod{};                  ///< When the next probe is due.
-  std::uint64_t Periods = 0;               ///< Counts periods.
-  TimePoint NextPull{};      ///< When to compare beliefs; zero: not joined.
-  Duration PullPause{};      ///< Until the one after it.
-  std::uint64_t Changes = 0; ///< Counts changes of what nodes are chosen by.
-  MemberCounts Counts;       ///< For operators.
+  std::map<std::string, Member> Members; ///< Other nodes, by id.
+  std::set<HostPort> Seeds;              ///< Peer addresses to join through.
+  std::set<UpdateRank> News;             ///< Least often sent first.
+  std::vector<std::string> Ids; ///< All members, unordered, for random draws.
+  Duration Period = std::chrono::seconds(1); ///< Interval between probes.
+  Duration Timeout = std::chrono::milliseconds(300); ///< Of a direct probe.
+  Random Rng;                     ///< For probe order and random draws.
+  std::vector<std::string> Order; ///< Ids still to be probed in this round.
+  ProbeState Probe;               ///< Probe of the current period.
+  std::map<std::uint64_t, RelayedProbe> RelayedProbes; ///< By own sequence.
+  std::uint64_t LastSequence = 0; ///< Sequence number of the latest probe.
+  TimePoint NextPeriod{};         ///< When the next probe period begins.
+  std::uint64_t Periods = 0;      ///< Number of probe periods so far.
+  TimePoint NextPull{};           ///< When to compare states; zero: not joined.
+  Duration PullInterval{};   ///< From the next comparison to the one after.
+  std::uint64_t Changes = 0; ///< Counts changes that affect node choice.
+  MemberCounts Counts;       ///< Counters for operators.
 };
 
-/// Send a membership message.
+/// Request to send a membership message.
 struct SendMemberAction {
-  HostPort To;           ///< Where to.
-  MemberMessage Message; ///< What.
+  HostPort To;           ///< Peer address of the receiver.
+  MemberMessage Message; ///< Message to send.
 };
 
-/// A member's state has changed here.
+/// Notification that a member changed in this node's view.
 struct MemberChangedAction {
-  MemberInfo Info;                           ///< As it is now.
-  bool Fresh = false;                        ///< It was not known before.
-  MemberState Before = MemberState::Invalid; ///< Its state until now.
+  MemberInfo Info;                           ///< Its new state.
+  bool Fresh = false;                        ///< Whether it was unknown before.
+  MemberState Before = MemberState::Invalid; ///< Its previous state.
 };
 
-/// Anything that membership asks its surroundings to do.
+/// An action that membership requests from its service.
 using MemberAction = std::variant<SendMemberAction, MemberChangedAction>;
 using MemberActions = std::vector<MemberAction>;
 
--- a/src/member_func.h
+++ b/src/member_func.h
@@ -1,8 +1,8 @@
-/// \file member_func.h Membership by probing and gossip, without I/O.
+/// \file member_func.h Membership by probes and gossip, without I/O.
 ///
-/// The scheme is the published SWIM protocol: probes in random rounds, indirect
-/// probes before suspicion, incarnations that only their owner raises, and news
-/// carried on probes.
+/// Implements the published SWIM protocol: probes in random rounds, indirect
+/// probes before suspicion, incarnations that only their owner raises, and
+/// updates piggybacked on probes.
 #ifndef FULMARSTEP_MEMBER_FUNC_H
 #define FULMARSTEP_MEMBER_FUNC_H
 
@@ -10,58 +10,63 @@
 
 namespace fulmar {
 
-/// Does what has become due: probes, suspicions, deaths.
+/// Processes due timers: sends probes, raises suspicions and declares deaths.
 void memberTick(Membership &M, TimePoint Now, MemberActions &Out);
 
-/// \return When memberTick has something to do next.
+/// \return When memberTick() is due next.
 TimePoint memberNextDue(const Membership &M);
 
-/// A message of another node arrived.
+/// Processes a message from another node.
 void memberReceived(Membership &M, const MemberMessage &Message, TimePoint Now,
                     MemberActions &Out);
 
-/// This process takes its incarnation, and asks all seeds for members at once.
+/// Sets the incarnation of this process and sends join and hello messages to
+/// seeds at once.
 void memberJoin(Membership &M, std::uint64_t Incarnation, TimePoint Now,
                 MemberActions &Out);
 
-/// Adds addresses that may have nodes.
+/// Replaces the seeds: addresses at which nodes may run.
 void memberSeeds(Membership &M, const std::vector<HostPort> &Seeds);
 
-/// This node is about to stop; tells some others at once.
+/// Marks this node as leaving and announces it to some nodes at once.
 void memberLeaving(Membership &M, TimePoint Now, MemberActions &Out);
 
-/// This node stops now; saves the others their suspicion.
-void memberGoodbye(Membership &M, TimePoint Now, MemberActions &Out);
+/// Marks this node as dead and announces it, so that the others need not
+/// suspect it first.
+void memberStop(Membership &M, TimePoint Now, MemberActions &Out);
 
-/// Says whether callers should be sent to this node, and whether it can read
-/// the key-value service; tells some others at once when that changes.
+/// Sets whether callers should be sent to this node, and whether it can read
+/// the key-value service. Announces changes to some nodes at once.
 void memberFitness(Membership &M, bool Fit, bool CanRead, MemberActions &Out);
 
-/// \return Whether a node is up to date by its own means. One that hears of the
-/// key-value service from others only serves as well, until the node that it
-/// hears from fails too: callers and other nodes had better not rely on it.
-inline bool memberSound(const MemberInfo &Info) {
+/// \return Whether a node is ready and reads the key-value service itself. A
+/// node that learns of the service's state only through others serves as well,
+/// until the node that it depends on fails too: callers and other nodes should
+/// prefer healthy nodes.
+inline bool memberHealthy(const MemberInfo &Info) {
   return !Info.Unfit && !Info.CannotRead;
 }
 
-/// \return Whether \p State counts as running for routing and entries.
+/// \return Whether a node in \p State may serve requests and be given to
+/// callers.
 inline bool memberServes(MemberState State) {
   return State == MemberState::Alive;
 }
 
-/// \return Ids of the nodes that are alive or suspect, this one included, in
-/// order. Suspects stay in, so that a short pause does not move any duty.
+/// \return Sorted ids of the nodes that are alive or suspect, including this
+/// one. Suspect nodes are included so that a short pause does not move
+/// responsibilities to other nodes.
 std::vector<std::string> memberIds(const Membership &M);
 
-/// \return How many they are.
+/// \return Number of ids that memberIds() returns.
 std::size_t memberCount(const Membership &M);
 
-/// \return Digests of what is believed of the members that are not dead, this
-/// node included, in so many parts. Nodes that believe the same have the same.
+/// \return Digests of the members that are not dead, including this node, in
+/// \p Parts parts by hash of the id. Nodes with equal views have equal digests.
 std::vector<std::uint64_t> memberDigests(const Membership &M,
                                          std::size_t Parts);
 
-/// \return Up to \p Size random members that answer.
+/// \return Up to \p Size random members that are alive or leaving.
 std::vector<MemberInfo> randomMembers(Membership &M, std::size_t Size);
 
 } // namespace fulmar
--- a/src/member_service.cpp
+++ b/src/member_service.cpp
@@ -1,4 +1,4 @@
-/// \file member_service.cpp Carries out membership's actions.
+/// \file member_service.cpp Runs membership: timers, messages and subscribers.
 #include "member_service.h"
 
 #include <utility>
@@ -11,15 +11,15 @@
 
 namespace fulmar {
 
-/// After this time the answers to a join are there: many round trips between
-/// failure domains, and a pause of a node whose share of a processor is used
-/// up.
+/// After this time the responses to a join have arrived. It allows for many
+/// round trips between failure domains, and for the pause of a node that has
+/// used up its CPU quota.
 static constexpr Duration SettleTime = std::chrono::milliseconds(120);
 
-/// Changes are told together within this time. A node of a large fleet that
-/// starts hears of a thousand others within a second, one after the other, and
-/// each change costs its subscribers a look at all of them.
-static constexpr Duration TellDelay = std::chrono::milliseconds(20);
+/// Subscribers are notified once for all changes within this time. A starting
+/// node of a large fleet learns of a thousand others within a second, one after
+/// the other, and on each notification subscribers iterate over all members.
+static constexpr Duration NotifyDelay = std::chrono::milliseconds(20);
 
 MemberService::MemberService(Kernel &K, const Settings &S,
                              std::uint64_t Incarnation, std::uint64_t Seed)
@@ -37,9 +37,9 @@
   State.Rng.seed(Seed);
   for (const std::string &Seed : S.Seeds) {
     if (auto Address = parseHostPort(Seed))
-      Fixed.push_back(*Address);
+      FixedSeeds.push_back(*Address);
   }
-  memberSeeds(State, Fixed);
+  memberSeeds(State, FixedSeeds);
 }
 
 void MemberService::start() {
@@ -51,7 +51,7 @@
         memberReceived(State, Message, Timers->now(), Out);
         perform(Out);
       });
-  // Nodes that start together must not probe together.
+  // Random offset, so that nodes that start together do not probe at once.
   State.NextPeriod =
       Timers->now() + fromMs(toMs(State.Period) * randomUnit(State.Rng) / 4);
   arm();
@@ -88,7 +88,7 @@
 }
 
 void MemberService::seeds(const std::vector<HostPort> &Listed) {
-  std::vector<HostPort> All = Fixed;
+  std::vector<HostPort> All = FixedSeeds;
   All.insert(All.end(), Listed.begin(), Listed.end());
   memberSeeds(State, All);
 }
@@ -101,7 +101,7 @@
 
 void MemberService::goodbye() {
   MemberActions Out;
-  memberGoodbye(State, Timers->now(), Out);
+  memberStop(State, Timers->now(), Out);
   perform(Out);
 }
 
@@ -133,13 +133,14 @@
       continue;
     }
     logChange(std::get<MemberChangedAction>(Action));
-    planTell();
+    scheduleNotify();
   }
   arm();
 }
 
-/// A line for each member that is new, or that says something new of itself,
-/// would be as many as the square of a fleet that starts; these are counted.
+/// Logs a change of a member. New members and updates of live members are only
+/// counted: the number of their lines would grow with the square of the fleet
+/// size when a fleet starts.
 void MemberService::logChange(const MemberChangedAction &Change) {
   const MemberInfo &Info = Change.Info;
   if (Info.State == MemberState::Alive &&
@@ -154,19 +155,19 @@
             {"incarnation", Info.Incarnation}});
 }
 
-void MemberService::planTell() {
-  if (std::exchange(TellPlanned, true))
+void MemberService::scheduleNotify() {
+  if (std::exchange(NotifyScheduled, true))
     return;
-  Timers->after(TellDelay, [this] { tell(); });
+  Timers->after(NotifyDelay, [this] { notify(); });
 }
 
-void MemberService::tell() {
-  TellPlanned = false;
+void MemberService::notify() {
+  NotifyScheduled = false;
   if (Learned + Updated > 0)
     logRoutine("members_learned", {{"count", std::exchange(Learned, 0)},
                                    {"updated", std::exchange(Updated, 0)},
                                    {"known", State.Members.size()}});
-  for (const auto &Fn : Changes)
+  for (const auto &Fn : Subscribers)
     Fn();
 }
 
--- a/src/member_service.h
+++ b/src/member_service.h
@@ -1,4 +1,4 @@
-/// \file member_service.h Carries out membership's actions.
+/// \file member_service.h Runs membership: timers, messages and subscribers.
 #ifndef FULMARSTEP_MEMBER_SERVICE_H
 #define FULMARSTEP_MEMBER_SERVICE_H
 
@@ -13,7 +13,7 @@
 
 class PeerService;
 
-/// Membership with its I/O.
+/// Membership with its timers and messages.
 class MemberService : public Service {
 public:
   MemberService(Kernel &K, const Settings &S, std::uint64_t Incarnation,
@@ -21,58 +21,64 @@
 
   void start() override;
 
-  /// Calls \p Fn after members' states have changed. Changes that come close
-  /// together are told once.
-  void onChange(std::function<void()> Fn) { Changes.push_back(std::move(Fn)); }
+  /// Calls \p Fn after members have changed, once for changes that come close
+  /// together.
+  void onChange(std::function<void()> Fn) {
+    Subscribers.push_back(std::move(Fn));
+  }
 
-  /// \return Ids of live nodes, this one included, in order.
+  /// \return Sorted ids of live nodes, including this one.
   std::vector<std::string> ids() const { return memberIds(State); }
-  /// \return How many they are.
+  /// \return Number of live nodes, including this one.
   std::size_t size() const;
   /// \return Ids of live nodes in this node's failure domain.
   std::vector<std::string> domainIds() const;
-  /// \return What is known of a node, or nullptr.
+  /// \return The known state of a node, or nullptr.
   const MemberInfo *info(const std::string &Id) const;
   /// \return Ids of some live members, chosen at random.
   std::vector<std::string> randomIds(std::size_t Size);
-  /// Adds addresses from the host list.
+  /// Sets the seeds: those of the settings and \p Listed.
   void seeds(const std::vector<HostPort> &Listed);
-  /// Tells the others that this node is about to stop.
+  /// Announces that this node is about to stop.
   void leaving();
-  /// Tells the others that this node stops now.
+  /// Announces that this node stops now.
   void goodbye();
-  /// Tells the others whether callers should be sent here.
+  /// Announces whether callers should be sent to this node, and whether it can
+  /// read the key-value service.
   void fitness(bool Fit, bool CanRead);
-  /// Takes the incarnation of this process and asks all seeds for members.
+  /// Sets the incarnation of this process and contacts seeds.
   void join(std::uint64_t Incarnation);
-  /// \return Whether this process has joined and had time to hear of others.
+  /// \return Whether this process joined at least SettleTime ago, so that it
+  /// knows the other nodes.
   bool settled() const;
-  /// Sets the load that this node reports.
+  /// Sets the number of requests in progress that this node reports.
   void load(std::size_t Requests);
 
-  /// \return The state, for status pages, entries and metrics.
+  /// \return The membership state, for status pages, entries and metrics.
   const Membership &state() const { return State; }
 
 private:
   void perform(const MemberActions &Actions);
   void logChange(const MemberChangedAction &Change);
-  void planTell();
-  void tell();
+  void scheduleNotify();
+  void notify();
   void arm();
 
-  Kernel &Services;                           ///< Finds the others.
-  TimerService *Timers = nullptr;             ///< Time.
-  PeerService *Peers = nullptr;               ///< Carries messages.
-  Membership State;                           ///< Decides.
-  std::vector<HostPort> Fixed;                ///< Seeds from the settings.
-  std::vector<std::function<void()>> Changes; ///< Subscribers.
-  TimePoint JoinedAt{};                       ///< When it joined; zero: not.
-  TimerId Wake;                               ///< For the next due time.
-  bool TellPlanned = false;                   ///< tell() will run.
-  std::size_t Learned = 0; ///< Members that are new since then.
-  std::size_t Updated = 0; ///< Live ones that said something new of themselves.
-  mutable std::size_t Live = 0;              ///< Live nodes,
-  mutable std::uint64_t LiveChanges = ~0ULL; ///< counted at these changes.
+  Kernel &Services;                 ///< Looks up other services.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  PeerService *Peers = nullptr;     ///< Sends and receives messages.
+  Membership State;                 ///< Membership as this node sees it.
+  std::vector<HostPort> FixedSeeds; ///< Seeds from the settings.
+  std::vector<std::function<void()>> Subscribers; ///< Called after changes.
+  TimePoint JoinedAt{};         ///< When it joined; zero: not joined.
+  TimerId Wake;                 ///< Timer of the next tick.
+  bool NotifyScheduled = false; ///< Whether notify() is scheduled.
+  std::size_t Learned = 0;      ///< New members since the last notification.
+  std::size_t Updated = 0;      ///< Live members that changed since the last
+                                ///< notification.
+  mutable std::size_t Live = 0; ///< Cached number of live nodes.
+  mutable std::uint64_t LiveChanges = ~0ULL; ///< Membership::Changes at its
+                                             ///< last update.
 };
 
 } // namespace fulmar
--- a/src/member_type.h
+++ b/src/member_type.h
@@ -1,4 +1,4 @@
-/// \file member_type.h Nodes as the other nodes know them.
+/// \file member_type.h Members of the fleet, and messages about them.
 #ifndef FULMARSTEP_MEMBER_TYPE_H
 #define FULMARSTEP_MEMBER_TYPE_H
 
@@ -8,56 +8,59 @@
 
 namespace fulmar {
 
-/// What is believed of a node; of two beliefs with equal incarnations the
-/// later in this list wins.
+/// State of a node as another node sees it. Of two states with equal
+/// incarnations the later one in this list wins.
 enum class MemberState {
-  Alive,   ///< Answers.
-  Leaving, ///< Answers, and is about to stop.
-  Suspect, ///< Did not answer; may still refute that.
-  Dead,    ///< Did not refute in time, or said goodbye.
+  Alive,   ///< Responds to probes.
+  Leaving, ///< Responds to probes, and is about to stop.
+  Suspect, ///< Did not respond; may still refute the suspicion.
+  Dead,    ///< Did not refute in time, or announced its stop.
   Count,   ///< Number of states.
   Invalid, ///< Not a state.
 };
 
-/// A node, as it travels between nodes.
+/// State of a node, as sent between nodes.
 struct MemberInfo {
   std::string Id;                         ///< Node id.
-  std::string Host;                       ///< IP number.
-  int CallerPort = 0;                     ///< For callers.
-  int OperatorPort = 0;                   ///< For operators.
-  int PeerPort = 0;                       ///< For other nodes.
-  std::string FailureDomain;              ///< Where it runs.
+  std::string Host;                       ///< IP address.
+  int CallerPort = 0;                     ///< Port for callers.
+  int OperatorPort = 0;                   ///< Port for operators.
+  int PeerPort = 0;                       ///< Port for other nodes.
+  std::string FailureDomain;              ///< Failure domain that it runs in.
   std::uint64_t Incarnation = 0;          ///< Raised only by the node itself.
-  MemberState State = MemberState::Alive; ///< What is believed.
-  std::uint32_t Load = 0;       ///< Requests in progress when it last spoke.
-  bool Unfit = false;           ///< Alive, but not to be given to callers.
-  bool CannotRead = false;      ///< Its calls to the key-value service fail.
-  std::uint32_t Strength = 100; ///< Of its host, per cent of a usual one.
+  MemberState State = MemberState::Alive; ///< State as the sender sees it.
+  std::uint32_t Load = 0;       ///< Requests in progress at its last message.
+  bool Unfit = false;           ///< Whether callers should not be sent to it.
+  bool CannotRead = false;      ///< Whether its calls to the key-value service
+                                ///< fail.
+  std::uint32_t Strength = 100; ///< Capacity of its host, in per cent of a
+                                ///< standard host.
 
   bool operator==(const MemberInfo &) const = default;
 };
 
-/// What a membership message asks.
+/// Kind of a membership message.
 enum class MemberMessageKind {
-  Ping,        ///< Answer me.
-  PingRequest, ///< Ping another for me.
-  Ack,         ///< The answer.
-  Join,        ///< Tell me what you believe of members.
-  List,        ///< A part of the answer.
-  News,        ///< Only the updates matter.
-  Hello,       ///< I am new; tell me of yourself.
+  Ping,        ///< Requests an ack.
+  PingRequest, ///< Requests an indirect probe of the target.
+  Ack,         ///< Acknowledges a ping.
+  Join,        ///< Requests the receiver's view of the members.
+  List,        ///< A part of the response to Join.
+  Gossip,      ///< Carries updates only.
+  Hello,       ///< Announces the sender and requests the receiver's own
+               ///< state.
   Count,       ///< Number of kinds.
   Invalid,     ///< Not a kind.
 };
 
 /// A membership message.
 struct MemberMessage {
-  MemberMessageKind Kind = MemberMessageKind::Invalid; ///< What it asks.
-  std::uint64_t Sequence = 0;         ///< Of the probe it belongs to.
-  std::string Target;                 ///< Node probed, for indirect probes.
-  std::vector<MemberInfo> Updates;    ///< The sender first, then news.
-  std::vector<std::uint64_t> Digests; ///< Of each part of the sender's beliefs,
-                                      ///< where only others are asked for.
+  MemberMessageKind Kind = MemberMessageKind::Invalid; ///< Its kind.
+  std::uint64_t Sequence = 0;         ///< Sequence number of the probe.
+  std::string Target;                 ///< Id of the probed node.
+  std::vector<MemberInfo> Updates;    ///< The sender first, then updates.
+  std::vector<std::uint64_t> Digests; ///< Of each part of the sender's view;
+                                      ///< empty: requests all members.
 };
 
 } // namespace fulmar
--- a/src/member_view.h
+++ b/src/member_view.h
@@ -1,4 +1,4 @@
-/// \file member_view.h Whether nodes know the same nodes.
+/// \file member_view.h Agreement of the nodes on the set of members.
 #ifndef FULMARSTEP_MEMBER_VIEW_H
 #define FULMARSTEP_MEMBER_VIEW_H
 
@@ -11,23 +11,23 @@
 
 namespace fulmar {
 
-/// What another node said last of whom it knows.
+/// Latest membership digest received from another node.
 struct PeerView {
-  std::uint64_t Digest = 0; ///< Equal where it knows the same nodes.
-  TimePoint At{};           ///< When it said so.
+  std::uint64_t Digest = 0; ///< Equal if it knows the same nodes.
+  TimePoint At{};           ///< When it was received.
 };
 
-/// What this node has heard of whom the others know.
+/// Membership digests of this node and of the others.
 struct MemberViews {
-  std::uint64_t Own = 0; ///< Digest of the nodes that this one knows.
-  std::unordered_map<std::string, PeerView> Others; ///< By node.
+  std::uint64_t Own = 0; ///< Digest of the nodes that this node knows.
+  std::unordered_map<std::string, PeerView> Others; ///< By node id.
 };
 
-/// What nodes said is believed for this long.
-inline constexpr Duration MemberViewLife = std::chrono::seconds(5);
-/// Part of the others that must know the same nodes. One of a large fleet is
-/// nearly always a message behind.
-inline constexpr double ViewsAgreeing = 0.9;
+/// Age after which a received digest is ignored.
+inline constexpr Duration MemberViewLifetime = std::chrono::seconds(5);
+/// Share of the other nodes that must know the same nodes. In a large fleet
+/// some node is nearly always one message behind.
+inline constexpr double MinAgreeingShare = 0.9;
 
 /// \return A digest of \p Ids, which are sorted.
 inline std::uint64_t memberDigest(const std::vector<std::string> &Ids) {
@@ -37,18 +37,18 @@
   return Digest;
 }
 
-/// \return Whether this node and the others know the same nodes. Nodes that
-/// are known and not heard say nothing against it.
+/// \return Whether this node and enough of the others know the same nodes.
+/// Known nodes without a recent digest are not counted.
 inline bool viewsAgree(const MemberViews &Views, TimePoint Now) {
   double Heard = 0;
   double Same = 0;
   for (const auto &[Id, View] : Views.Others) {
-    if (Now - View.At > MemberViewLife)
+    if (Now - View.At > MemberViewLifetime)
       continue;
     ++Heard;
     Same += View.Digest == Views.Own ? 1 : 0;
   }
-  return Heard > 0 && Same >= Heard * ViewsAgreeing;
+  return Heard > 0 && Same >= Heard * MinAgreeingShare;
 }
 
 } // namespace fulmar
--- a/src/state_sync.cpp
+++ b/src/state_sync.cpp
@@ -35,7 +35,7 @@
     if (memberServes(Other.Info.State) && !Silent.count(Id))
       Out.push_back(&Other.Info);
   }
-  auto Unsound = [](const MemberInfo *Info) { return !memberSound(*Info); };
+  auto Unsound = [](const MemberInfo *Info) { return !memberHealthy(*Info); };
   auto Lost =
       static_cast<double>(std::count_if(Out.begin(), Out.end(), Unsound));
   if (Lost <= (1 - SoundShare) * static_cast<double>(Out.size()))
@@ -63,7 +63,7 @@
   std::vector<Rank> Ranked;
   Ranked.reserve(All.size());
   for (const MemberInfo *Info : All)
-    Ranked.emplace_back(memberSound(*Info),
+    Ranked.emplace_back(memberHealthy(*Info),
                         rendezvousWeight(ReaderKey, Info->Id), Info);
   std::sort(Ranked.begin(), Ranked.end(), std::greater<>());
   for (std::size_t I = 0; I < All.size(); ++I)
--- a/tests/fleet_net.h
+++ b/tests/fleet_net.h
@@ -1,4 +1,4 @@
-/// \file fleet_net.h Membership of a large fleet in virtual time.
+/// \file fleet_net.h Simulates the membership of a large fleet in virtual time.
 #ifndef FULMARSTEP_TESTS_FLEET_NET_H
 #define FULMARSTEP_TESTS_FLEET_NET_H
 
@@ -6,18 +6,20 @@
 
 namespace fulmar {
 
-/// Many memberships and the network between them, in steps of a few ms: events
-/// one by one would take the square of the fleet.
+/// Many memberships and the network between them. Time advances in steps of a
+/// few ms: to process single events would take time in proportion to the square
+/// of the fleet size.
 struct FleetNet {
   static constexpr Duration Step = std::chrono::milliseconds(5);
   TimePoint Now{std::chrono::seconds(1)};
   Random Rng;
   std::vector<Membership> Nodes;
   std::vector<bool> Up;
-  std::vector<HostPort> Entered; ///< As the key-value service lists them.
-  std::deque<std::pair<std::size_t, MemberMessage>> Wire; ///< On the way.
-  std::uint64_t Messages = 0;                             ///< Sent.
-  std::uint64_t Beliefs = 0;                              ///< In them.
+  std::vector<HostPort>
+      ListedAddresses; ///< Node addresses in the key-value service.
+  std::deque<std::pair<std::size_t, MemberMessage>> Wire; ///< In flight.
+  std::uint64_t Messages = 0;                             ///< Messages sent.
+  std::uint64_t EntriesSent = 0; ///< Member entries sent in them.
 
   FleetNet(std::size_t Count, std::uint64_t Seed) : Rng(Seed) {
     for (std::size_t I = 0; I < Count; ++I) {
@@ -45,21 +47,22 @@
     return M;
   }
 
-  /// Node \p I starts and joins those that have entered before.
+  /// Starts node \p I; it joins through the addresses listed so far.
   void join(std::size_t I) {
     std::uint64_t Incarnation = Nodes[I].Self.Incarnation + (1 << 16);
     Nodes[I] = fresh(I);
     Up[I] = true;
-    memberSeeds(Nodes[I], Entered);
+    memberSeeds(Nodes[I], ListedAddresses);
     HostPort Address{"10.0.0.1", static_cast<int>(I) + 1};
-    if (std::find(Entered.begin(), Entered.end(), Address) == Entered.end())
-      Entered.push_back(Address);
+    if (std::find(ListedAddresses.begin(), ListedAddresses.end(), Address) ==
+        ListedAddresses.end())
+      ListedAddresses.push_back(Address);
     MemberActions Out;
     memberJoin(Nodes[I], Incarnation, Now, Out);
     perform(Out);
   }
 
-  /// All of some nodes join within \p Time.
+  /// Starts the nodes \p Which, spread over \p Time.
   void joinAll(const std::vector<std::size_t> &Which, Duration Time) {
     TimePoint Begin = Now;
     std::size_t Joined = 0;
@@ -74,8 +77,8 @@
     }
   }
 
-  /// Node \p I is ready.
-  void makeFit(std::size_t I) {
+  /// Marks node \p I as ready.
+  void makeReady(std::size_t I) {
     MemberActions Out;
     memberFitness(Nodes[I], /*Fit=*/true, /*CanRead=*/true, Out);
     perform(Out);
@@ -111,35 +114,35 @@
       if (!Send)
         continue;
       ++Messages;
-      Beliefs += Send->Message.Updates.size();
+      EntriesSent += Send->Message.Updates.size();
       auto To = static_cast<std::size_t>(Send->To.Port - 1);
-      // One in a hundred is lost.
+      // One message in a hundred is lost.
       if (To < Nodes.size() && randomUnit(Rng) > 0.01)
         Wire.emplace_back(To, Send->Message);
     }
   }
 
-  /// \return The part of all pairs of running nodes in which one knows the
-  /// other as sound.
-  double sound() const {
+  /// \return The share of all ordered pairs of running nodes in which the first
+  /// node knows the second one as healthy.
+  double healthyShare() const {
     double Pairs = 0;
-    double Good = 0;
+    double Healthy = 0;
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
       if (!Up[I])
         continue;
-      for (std::size_t Of = 0; Of < Nodes.size(); ++Of) {
-        if (!Up[Of] || Of == I)
+      for (std::size_t Other = 0; Other < Nodes.size(); ++Other) {
+        if (!Up[Other] || Other == I)
           continue;
         ++Pairs;
-        auto Found = Nodes[I].Members.find(name(Of));
-        Good += Found != Nodes[I].Members.end() &&
-                        memberServes(Found->second.Info.State) &&
-                        memberSound(Found->second.Info)
-                    ? 1
-                    : 0;
+        auto Found = Nodes[I].Members.find(name(Other));
+        Healthy += Found != Nodes[I].Members.end() &&
+                           memberServes(Found->second.Info.State) &&
+                           memberHealthy(Found->second.Info)
+                       ? 1
+                       : 0;
       }
     }
-    return Good / Pairs;
+    return Healthy / Pairs;
   }
 };
 
--- a/tests/test_entries.cpp
+++ b/tests/test_entries.cpp
@@ -1,4 +1,4 @@
-/// \file test_entries.cpp Entries and answers that another program wrote.
+/// \file test_entries.cpp Malformed entries in the key-value service.
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// \return An entry that can be used.
+/// \return A valid upstream entry.
 Json goodEntry() {
   Json Entry;
   Entry.set("service", "plain").set("address", "10.1.2.3:80");
@@ -68,10 +68,11 @@
 } // namespace
 
 SCENARIO("an entry of the list was written by another program") {
-  // Symptom: requests are sent to an upstream with an empty address, or to one
-  // that calls itself something unheard of.
-  // Sequence: another program writes below the upstreams' prefix.
-  // Cause: missing fields were read as empty or zero, unknown words as leaving.
+  // Symptom: requests are sent to an upstream with an empty address, or with an
+  // unknown state.
+  // Sequence: another program writes below the key prefix of the upstreams.
+  // Cause: missing fields were read as empty or zero, unknown states as
+  // leaving.
   REQUIRE(readable(goodEntry()));
   CHECK(readable(without(goodEntry(), "born")));
   CHECK(readable(with(goodEntry(), "state", "draining")));
@@ -98,7 +99,7 @@
     CHECK_FALSE(readable(Good, Key));
 }
 
-TEST_CASE("whatever an entry holds, it is read whole or not at all "
+TEST_CASE("an entry with any content is read completely or not at all "
           "(property)") {
   CHECK(rc::check("entry", [] {
     Json Entry = goodEntry();
@@ -120,7 +121,7 @@
   }));
 }
 
-TEST_CASE("whatever a configuration holds, reading it ends (property)") {
+TEST_CASE("reading a configuration with any content terminates (property)") {
   CHECK(rc::check("configuration", [] {
     Json Stage = Json().set("service", "s").set("after", anyValue());
     Json Route = Json().set("name", "r").set("host", "h").set("prefix", "/a/");
@@ -147,11 +148,11 @@
     W.Store.put("servers/& " + std::to_string(I), "{}");
   W.addRunner("plain", {"z"});
   GatewayNode &Node = W.addNode();
-  THEN("the others serve") {
+  THEN("valid upstreams serve requests") {
     CHECK(W.ask("/get/x").Answer.Status == 200);
     CHECK(W.ask("/post/x").Answer.Status == 200);
   }
-  THEN("they are counted") {
+  THEN("malformed entries are counted") {
     (void)Node;
     HttpCall Call;
     Call.Address = "127.0.0.1:" + std::to_string(W.Settings[0].MetricsPort);
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -1,4 +1,4 @@
-/// \file test_fleet.cpp What holds at each size of a fleet.
+/// \file test_fleet.cpp Properties that hold for fleets of all sizes.
 #include <catch2/catch.hpp>
 
 #include "core/hash.h"
@@ -22,29 +22,31 @@
 } // namespace
 
 SCENARIO("all nodes of a fleet start at once and become fit") {
-  // Guards against news that takes as long as the fleet is large to be known:
-  // callers were sent to few nodes, and readers were chosen among few.
+  // Guards against updates that take time in proportion to the fleet size to
+  // reach all nodes: callers were sent to few nodes, and readers were selected
+  // from few nodes.
   std::size_t Size = GENERATE(9, 300, 1000);
   FleetNet Net(Size, Size);
   Net.joinAll(numbers(Size), 300ms);
   Net.run(500ms);
   for (std::size_t I = 0; I < Size; ++I)
-    Net.makeFit(I);
+    Net.makeReady(I);
   Net.run(4s);
-  INFO(Size << " nodes, " << Net.Beliefs / Size << " beliefs a node, "
+  INFO(Size << " nodes, " << Net.EntriesSent / Size << " entries a node, "
             << Net.Messages / Size << " messages a node");
-  CHECK(Net.sound() > 0.999);
-  // Each is told each other a few times, however many there are.
-  CHECK(Net.Beliefs / Size < 40 * Size + 500);
+  CHECK(Net.healthyShare() > 0.999);
+  // Each node receives the state of each other one a few times, at any size.
+  CHECK(Net.EntriesSent / Size < 40 * Size + 500);
 }
 
 SCENARIO("a large part of a fleet changes at once") {
-  // Guards against a fleet that takes half a minute to know who is back.
+  // Guards against a fleet that takes half a minute to learn which nodes have
+  // restarted.
   std::size_t Size = GENERATE(9, 300, 1000);
   FleetNet Net(Size, Size + 1);
   Net.joinAll(numbers(Size), 300ms);
   for (std::size_t I = 0; I < Size; ++I)
-    Net.makeFit(I);
+    Net.makeReady(I);
   Net.run(4s);
   std::vector<std::size_t> Killed = numbers(Size);
   std::shuffle(Killed.begin(), Killed.end(), Net.Rng);
@@ -55,30 +57,31 @@
   Net.joinAll(Killed, 300ms);
   Net.run(500ms);
   for (std::size_t I : Killed)
-    Net.makeFit(I);
+    Net.makeReady(I);
   Net.run(5s);
-  CHECK(Net.sound() > 0.999);
+  CHECK(Net.healthyShare() > 0.999);
 }
 
 SCENARIO("a fleet in which nothing changes") {
-  // Guards against messages that grow with the fleet.
+  // Guards against message rates per node that grow with the fleet size.
   std::size_t Size = GENERATE(9, 300, 1000);
   FleetNet Net(Size, Size + 2);
   Net.joinAll(numbers(Size), 300ms);
   for (std::size_t I = 0; I < Size; ++I)
-    Net.makeFit(I);
+    Net.makeReady(I);
   Net.run(15s);
   Net.Messages = 0;
-  Net.Beliefs = 0;
+  Net.EntriesSent = 0;
   Net.run(5s);
   double PerSecond = static_cast<double>(Size) * 5;
   CHECK(static_cast<double>(Net.Messages) / PerSecond < 8);
-  // 60 bytes each; three kB a second in all.
-  CHECK(static_cast<double>(Net.Beliefs) / PerSecond < 50);
+  // An entry takes 60 bytes; that is 3 kB per second and node in total.
+  CHECK(static_cast<double>(Net.EntriesSent) / PerSecond < 50);
 }
 
 SCENARIO("a part of what all nodes may repeat is used by few") {
-  // Guards against shares of less than one repeat, which no node may make.
+  // Guards against a retry budget that is unusable because the share of each
+  // node is less than one retry.
   std::size_t Size = GENERATE(9, 300, 1000, 2000);
   RetryAllowance A{0.2, 1040, 10s, static_cast<double>(Size)};
   Random Rng(Size);
@@ -95,7 +98,7 @@
   std::deque<TimePoint> Latest;
   std::size_t MostInWindow = 0;
   for (TimePoint Now{20s}; Now < TimePoint{60s}; Now += 100ms) {
-    // Each request of a node that sees nothing else fails.
+    // All requests of the node fail.
     std::size_t Node = randomIndex(Rng, Size);
     ++Wanted;
     bool Own = Allows(Node, Now);
@@ -129,8 +132,8 @@
 }
 
 SCENARIO("few nodes read for a fleet of any size") {
-  // Guards against calls to the key-value service that grow with the fleet, and
-  // against nodes that serve more others the larger it is.
+  // Guards against a number of calls to the key-value service, and of nodes
+  // served by one node, that grow with the fleet size.
   std::size_t Size = GENERATE(9, 300, 1000, 2000);
   FleetNet Net(Size, Size);
   Membership M;
@@ -139,7 +142,7 @@
     M.Members[Node.Self.Id].Info = Node.Self;
   }
   auto Sources = [&](const std::set<std::string> &Silent) {
-    std::map<std::string, std::size_t> Served;
+    std::map<std::string, std::size_t> ServedNodes;
     for (Membership &Node : Net.Nodes) {
       if (Silent.count(Node.Self.Id))
         continue;
@@ -148,19 +151,19 @@
       SyncSource Source = chooseSyncSource(M, Silent);
       M.Members[Node.Self.Id].Info = Node.Self;
       CHECK((Source.Role == SyncRole::Reader) == (Source.Node == Node.Self.Id));
-      ++Served[Source.Role == SyncRole::Reader ? "" : Source.Node];
+      ++ServedNodes[Source.Role == SyncRole::Reader ? "" : Source.Node];
     }
-    return Served;
+    return ServedNodes;
   };
-  auto Served = Sources({});
-  CHECK(Served[""] <= 5);
-  for (const auto &[Node, Count] : Served) {
+  auto ServedNodes = Sources({});
+  CHECK(ServedNodes[""] <= 5);
+  for (const auto &[Node, Count] : ServedNodes) {
     INFO(Size << " nodes, " << Node << " serves " << Count);
     CHECK(Count <= 2 * NodesPerReader);
   }
-  THEN("those that do not answer are replaced by others") {
+  THEN("sources that do not respond are replaced by others") {
     std::set<std::string> Silent;
-    for (const auto &[Node, Count] : Served) {
+    for (const auto &[Node, Count] : ServedNodes) {
       if (!Node.empty() && Silent.size() < Size / 3)
         Silent.insert(Node);
     }
@@ -172,8 +175,8 @@
 }
 
 SCENARIO("lists are compared while they grow") {
-  // Guards against a comparison that never ends, as each of its parts comes
-  // from a later list.
+  // Guards against a comparison that never completes because each part is taken
+  // from a newer list.
   std::size_t Size = GENERATE(90, 3000, 10000, 20000);
   auto Named = [](std::size_t I) {
     UpstreamEntry Entry;
@@ -187,21 +190,21 @@
   for (std::size_t I = 0; I < Size; ++I)
     All.push_back(Named(I));
   registryRead(Reader, All, TimePoint{1s});
-  UpstreamRegistry Listener;
-  registryRead(Listener, {Named(Size)}, TimePoint{1s});
+  UpstreamRegistry Follower;
+  registryRead(Follower, {Named(Size)}, TimePoint{1s});
   std::size_t Parts = 0;
-  BucketDigests Known = Listener.Buckets;
-  std::uint64_t Digest = Listener.Digest;
+  BucketDigests Known = Follower.Buckets;
+  std::uint64_t Digest = Follower.Digest;
   while (Digest != Reader.Digest && ++Parts <= RegistryBuckets) {
     RegistryChange Part = registryBucketsSince(Reader, Digest, Known);
     for (std::uint32_t Bucket : Part.Whole)
       Known[Bucket] = Reader.Buckets[Bucket];
     Digest = Part.To;
-    REQUIRE(registryApply(Listener, Part, TimePoint{2s}));
+    REQUIRE(registryApply(Follower, Part, TimePoint{2s}));
   }
-  CHECK(Listener.Entries == Reader.Entries);
-  THEN("a change of one is told alone") {
-    Listener.Untold.clear();
+  CHECK(Follower.Entries == Reader.Entries);
+  THEN("a change of one entry is sent alone") {
+    Follower.Untold.clear();
     UpstreamEntry Leaving = Named(7);
     Leaving.Leaving = true;
     std::uint64_t Before = Reader.Digest;
@@ -209,7 +212,7 @@
     auto Change = registryChangesSince(Reader, Before);
     REQUIRE(Change);
     CHECK(Change->Listed.size() == 1);
-    CHECK(registryApply(Listener, *Change, TimePoint{3s}));
-    CHECK(Listener.Untold.size() == 1);
+    CHECK(registryApply(Follower, *Change, TimePoint{3s}));
+    CHECK(Follower.Untold.size() == 1);
   }
 }
--- a/tests/test_member.cpp
+++ b/tests/test_member.cpp
@@ -1,4 +1,4 @@
-// Membership in virtual time: a few instances, a lossy network in between.
+// Membership in virtual time: several nodes and a lossy network.
 #include "entry_func.h"
 #include "member_func.h"
 
@@ -13,9 +13,9 @@
   std::vector<TimePoint> PausedUntil;
   std::vector<bool> Up;
   std::multimap<TimePoint, std::pair<std::size_t, MemberMessage>> Wire;
-  double Loss = 0;
-  double Repeat = 0;
-  std::set<std::pair<std::size_t, std::size_t>> CutOff; ///< From, to.
+  double LossShare = 0;
+  double DuplicateShare = 0;
+  std::set<std::pair<std::size_t, std::size_t>> Partitioned; ///< From, to.
   std::uint64_t Messages = 0;
 
   MemberNet(std::size_t Count, std::uint64_t Seed) : Rng(Seed) {
@@ -48,11 +48,11 @@
         continue;
       ++Messages;
       auto To = static_cast<std::size_t>(Send->To.Port - 1);
-      if (To >= Nodes.size() || CutOff.count({From, To}))
+      if (To >= Nodes.size() || Partitioned.count({From, To}))
         continue;
-      int Copies = randomUnit(Rng) < Repeat ? 2 : 1;
+      int Copies = randomUnit(Rng) < DuplicateShare ? 2 : 1;
       for (int I = 0; I < Copies; ++I) {
-        if (randomUnit(Rng) >= Loss)
+        if (randomUnit(Rng) >= LossShare)
           Wire.emplace(Now + fromMs(1 + randomUnit(Rng) * 20),
                        std::make_pair(To, Send->Message));
       }
@@ -76,7 +76,7 @@
         std::size_t To = Node.mapped().first;
         if (!Up[To])
           continue;
-        // A paused process finds its messages when it goes on.
+        // A paused process receives its messages when it resumes.
         if (PausedUntil[To] > Now) {
           Wire.emplace(PausedUntil[To], Node.mapped());
           continue;
@@ -94,8 +94,8 @@
       }
     }
   }
-  /// How many running nodes believe \p State of node \p Of.
-  std::size_t believers(std::size_t Of, MemberState State) const {
+  /// \return Number of running nodes that see node \p Of in \p State.
+  std::size_t countSeeing(std::size_t Of, MemberState State) const {
     std::size_t Count = 0;
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
       if (I == Of || !Up[I])
@@ -106,7 +106,7 @@
     }
     return Count;
   }
-  bool allKnowAll() const {
+  bool allKnowEachOther() const {
     for (const Membership &M : Nodes) {
       if (memberIds(M).size() != Nodes.size())
         return false;
@@ -115,32 +115,32 @@
   }
 };
 
-SCENARIO("nodes find each other and notice who is gone") {
+SCENARIO("nodes discover each other and detect failed nodes") {
   MemberNet Net(9, 1);
   Net.run(15s);
-  REQUIRE(Net.allKnowAll());
-  WHEN("one dies") {
+  REQUIRE(Net.allKnowEachOther());
+  WHEN("a node fails") {
     Net.Up[3] = false;
     Net.run(20s);
-    THEN("all others know, and nobody else is suspected") {
-      CHECK(Net.believers(3, MemberState::Dead) == 8);
+    THEN("all others consider it dead, and suspect no other node") {
+      CHECK(Net.countSeeing(3, MemberState::Dead) == 8);
       for (std::size_t I = 0; I < 9; ++I)
-        CHECK((I == 3 || Net.believers(I, MemberState::Alive) == 7));
+        CHECK((I == 3 || Net.countSeeing(I, MemberState::Alive) == 7));
     }
-    AND_WHEN("it is started again on the same address") {
+    AND_WHEN("it is restarted at the same address") {
       Net.Nodes[3] = Net.fresh(3, 5000);
       Net.Up[3] = true;
       Net.run(15s);
-      THEN("it is one of them again") { CHECK(Net.allKnowAll()); }
+      THEN("it is a member again") { CHECK(Net.allKnowEachOther()); }
     }
   }
-  WHEN("one says that it leaves") {
+  WHEN("a node announces that it leaves") {
     MemberActions Out;
     memberLeaving(Net.Nodes[2], Net.Now, Out);
     Net.perform(2, Out);
     Net.run(1s);
     THEN("within a second it is no longer given out") {
-      CHECK(Net.believers(2, MemberState::Leaving) == 8);
+      CHECK(Net.countSeeing(2, MemberState::Leaving) == 8);
       Random Rng(1);
       for (const Membership &M : Net.Nodes)
         for (const std::string &Entry : chooseEntries(M, {"", 9, true}, Rng))
@@ -150,12 +150,12 @@
 }
 
 SCENARIO("a whole fleet starts at once") {
-  // Symptom: for two seconds after all hosts lost their power calls for pieces
-  // are refused as full, and requests fail.
-  // Sequence: 75 nodes start within 0.4 s and know all addresses from the
-  // store; each asks 16 of them; those that are not up yet answer nothing.
-  // Cause: the others heard of a node by gossip only, and until then each of
-  // them took another node for the coordinator of a pool.
+  // Symptom: for two seconds after a power failure of all hosts, calls for
+  // pieces are refused as full, and requests fail. Sequence: 75 nodes start
+  // within 0.4 s and read all addresses from the key-value service; each
+  // contacts 16 of them, and those that have not started yet do not respond.
+  // Cause: the other nodes learned of a node only by gossip; until then they
+  // selected different coordinators for a pool.
   constexpr std::size_t Size = 75;
   MemberNet Net(0, 4);
   std::vector<HostPort> All;
@@ -173,17 +173,16 @@
     Net.perform(I, Out);
   }
   Net.run(100ms);
-  CHECK(Net.allKnowAll());
+  CHECK(Net.allKnowEachOther());
 }
 
 SCENARIO("a large fleet starts at once") {
-  // Symptom: on a quiet day of 295 nodes asks of pieces time out at their
-  // coordinators, 350 times in twenty seconds, and inputs are gone by the time
-  // that they are used.
-  // Sequence: all nodes start within 0.3 s; each reads the list of those that
-  // entered it before, and announces itself to 128 of them.
-  // Cause: beyond 128 nodes pairs were left that gossip had to introduce, which
-  // took half a minute; a node does not answer one that it does not know.
+  // Symptom: in a fleet of 295 nodes under low load, requests for pieces time
+  // out at their coordinators, 350 times in twenty seconds, and inputs have
+  // expired when they are used. Sequence: all nodes start within 0.3 s; each
+  // reads the nodes listed before it, and announces itself to 128 of them.
+  // Cause: with more than 128 nodes, some pairs learned of each other only by
+  // gossip, which took half a minute; a node does not respond to unknown nodes.
   constexpr std::size_t Size = 295;
   MemberNet Net(Size, 12);
   std::vector<HostPort> Entered;
@@ -199,38 +198,38 @@
   std::size_t Unknown = 0;
   for (const Membership &M : Net.Nodes)
     Unknown += Size - 1 - M.Members.size();
-  CHECK(Unknown <= Size / 10); // Of 86,730 pairs.
+  CHECK(Unknown <= Size / 10); // Of 86,730 ordered pairs.
   Net.run(10s);
-  CHECK(Net.allKnowAll());
+  CHECK(Net.allKnowEachOther());
 }
 
 SCENARIO("a paused node comes back") {
-  // Symptom: a node that was stopped for a minute is shunned for good, or
-  // declares everybody else dead. Sequence: pause, suspicion, death by gossip,
-  // the process goes on with every probe overdue. Cause: a death that cannot
-  // be refuted; taking one's own deafness for the others' silence.
+  // Symptom: a node that was paused for a minute is considered dead for good,
+  // or declares all others dead. Sequence: pause, suspicion, the death spreads
+  // by gossip, the process resumes with all probes overdue. Cause: a death that
+  // cannot be refuted; a node that counts probes it could not receive acks for.
   MemberNet Net(9, 2);
   Net.run(15s);
   Net.PausedUntil[4] = Net.Now + 60s;
   Net.run(60s);
-  CHECK(Net.believers(4, MemberState::Dead) == 8);
+  CHECK(Net.countSeeing(4, MemberState::Dead) == 8);
   Net.run(20s);
-  THEN("all know all again, and the paused one has accused nobody") {
-    CHECK(Net.allKnowAll());
+  THEN("all nodes know each other again, and it declared no other node dead") {
+    CHECK(Net.allKnowEachOther());
     CHECK(Net.Nodes[4].Counts.Deaths == 0);
     CHECK(Net.Nodes[4].Counts.Refutations >= 1);
   }
 }
 
-SCENARIO("a split between regions heals") {
-  // Symptom: after an hour apart, each half of the fleet believes the other
-  // dead for good. Cause: nobody ever speaks to the dead again.
+SCENARIO("a network partition between regions heals") {
+  // Symptom: after an hour of a partition, each side considers the other dead
+  // for good. Cause: no node ever contacts dead members again.
   MemberNet Net(9, 3);
   Net.run(15s);
   for (std::size_t A = 0; A < 9; ++A)
     for (std::size_t B = 0; B < 9; ++B)
       if ((A < 4) != (B < 4))
-        Net.CutOff.insert({A, B});
+        Net.Partitioned.insert({A, B});
   Net.run(60min);
   CHECK(memberIds(Net.Nodes[0]).size() == 4);
   CHECK(memberIds(Net.Nodes[8]).size() == 5);
@@ -238,23 +237,23 @@
     Random Rng(1);
     CHECK(chooseEntries(Net.Nodes[0], {"", 9, true}, Rng).size() == 4);
   }
-  Net.CutOff.clear();
+  Net.Partitioned.clear();
   Net.run(90s);
-  THEN("and both are one again") { CHECK(Net.allKnowAll()); }
+  THEN("all nodes know each other again") { CHECK(Net.allKnowEachOther()); }
 }
 
-TEST_CASE("loss and repeats do not kill the living (property)") {
+TEST_CASE("message loss and duplicates cause no false deaths (property)") {
   CHECK(rc::check("no false deaths", [](std::uint64_t Seed) {
     MemberNet Net(8, Seed);
-    Net.Loss = 0.1;
-    Net.Repeat = 0.2;
+    Net.LossShare = 0.1;
+    Net.DuplicateShare = 0.2;
     Net.run(40s);
     std::uint64_t Deaths = 0;
     for (const Membership &M : Net.Nodes)
       Deaths += M.Counts.Deaths;
-    RC_ASSERT(Net.allKnowAll());
+    RC_ASSERT(Net.allKnowEachOther());
     RC_ASSERT(Deaths == 0u);
-    // Bounded work: probes, answers and indirect probes, not more.
+    // Bounded traffic: probes, acks and indirect probes only.
     RC_ASSERT(Net.Messages < 8u * 40 * 8);
   }));
 }
@@ -264,7 +263,7 @@
   Net.run(15s);
   Random Rng(7);
   Membership &M = Net.Nodes[0];
-  THEN("callers are spread, and each node gets its share") {
+  THEN("callers are spread evenly over the nodes") {
     std::map<std::string, int> First;
     for (int I = 0; I < 9000; ++I)
       ++First[chooseEntries(M, {"", 3, true}, Rng).front()];
@@ -279,15 +278,15 @@
     for (const std::string &Entry : Entries)
       CHECK(Near.count(Entry) == 1);
   }
-  THEN("a loaded node is given out less") {
+  THEN("a loaded node is given out less often") {
     M.Members.at("n1").Info.Load = 640;
     int Loaded = 0;
     for (int I = 0; I < 4000; ++I)
       Loaded += chooseEntries(M, {"", 1, true}, Rng)[0] == "10.0.0.1:8001";
     CHECK(Loaded < 150);
   }
-  THEN("a node that hears of the key-value service from others only is the "
-       "last choice") {
+  THEN("a node that cannot read the key-value service itself is the last "
+       "choice") {
     for (int I = 1; I < 9; ++I)
       M.Members.at("n" + std::to_string(I)).Info.CannotRead = I != 5;
     EntryQuery Query{"", 3, /*SelfReady=*/false};
@@ -296,7 +295,7 @@
     M.Members.at("n5").Info.CannotRead = true;
     CHECK(chooseEntries(M, Query, Rng).size() == 3);
   }
-  THEN("a node that knows nobody gives out itself") {
+  THEN("a node that knows no other node gives out itself") {
     Membership Alone = Net.fresh(0, 1);
     CHECK(chooseEntries(Alone, {"", 3, false}, Rng).size() == 1);
   }
