--- a/src/quarantine.cpp
+++ b/src/quarantine.cpp
@@ -1,4 +1,4 @@
-/// \file quarantine.cpp Which requests are not sent to upstreams any more
+/// \file quarantine.cpp Decides which requests are no longer sent to upstreams
 /// because they crash them.
 #include "quarantine_func.h"
 
@@ -9,51 +9,55 @@
 
 namespace fulmar {
 
-/// Reports of one end of an upstream come from several nodes within this time;
-/// an upstream takes longer to start and to end again.
-static constexpr Duration SameCrash = std::chrono::milliseconds(150);
-static constexpr std::size_t JudgeCount = 2;
+/// Reports of the same crash arrive from several nodes within this time; an
+/// upstream takes longer to restart and crash again.
+static constexpr Duration SameCrashWindow = std::chrono::milliseconds(150);
+/// Nodes that decide on a request.
+static constexpr std::size_t ArbiterCount = 2;
 
-static RecentSuccess &successPlace(Quarantine &Q, Fingerprint Content) {
-  return Q.Successes[Content.Value % SuccessPlaces];
+static RecentSuccess &successSlot(Quarantine &Q, Fingerprint Content) {
+  return Q.Successes[Content.Value % SuccessSlots];
 }
 
-/// \return Whether \p Content has run well after \p Since.
-static bool ranWellSince(Quarantine &Q, Fingerprint Content, TimePoint Since) {
-  const RecentSuccess &Latest = successPlace(Q, Content);
+/// \return Whether \p Content has run without a crash after \p Since.
+static bool succeededSince(Quarantine &Q, Fingerprint Content,
+                           TimePoint Since) {
+  const RecentSuccess &Latest = successSlot(Q, Content);
   return Latest.Content == Content && Latest.At > Since;
 }
 
-static bool isHeld(const QuarantineEntry &E, TimePoint Now) {
+static bool isQuarantined(const QuarantineEntry &E, TimePoint Now) {
   return !E.Lifted && Now < E.Until;
 }
 
-/// \return Whether \p E is over but not forgotten: one more crash is enough.
+/// \return Whether \p E has expired but has not been removed: then one more
+/// crash is enough for another quarantine.
 static bool onProbation(const QuarantineEntry &E, TimePoint Now) {
   return !E.Lifted && Now >= E.Until;
 }
 
-/// Makes room for one more item. Which one goes hardly matters: a request that
-/// goes on crashing upstreams is soon back.
-template <typename Map> static void makeRoom(Map &Items, std::size_t Most) {
-  if (Items.size() >= Most)
+/// Evicts an arbitrary item if the map is full. The choice hardly matters: a
+/// request that continues to crash upstreams is soon added again.
+template <typename Map>
+static void evictIfFull(Map &Items, std::size_t Capacity) {
+  if (Items.size() >= Capacity)
     Items.erase(Items.begin());
 }
 
-/// Adds a crash to a request's marks, unless it is known already.
-static void addMark(std::vector<CrashMark> &Marks, std::uint64_t Upstream,
-                    TimePoint Now) {
-  for (const CrashMark &Mark : Marks) {
-    if (Mark.Upstream == Upstream && Now - Mark.At < SameCrash)
+/// Adds a crash, unless it is a duplicate report.
+static void addCrash(std::vector<CrashRecord> &Crashes, std::uint64_t Upstream,
+                     TimePoint Now) {
+  for (const CrashRecord &Crash : Crashes) {
+    if (Crash.Upstream == Upstream && Now - Crash.At < SameCrashWindow)
       return;
   }
-  Marks.push_back({Upstream, Now});
+  Crashes.push_back({Upstream, Now});
 }
 
-static void hold(Quarantine &Q, Fingerprint Content, TimePoint Suspected,
-                 TimePoint Now) {
+static void beginQuarantine(Quarantine &Q, Fingerprint Content,
+                            TimePoint Suspected, TimePoint Now) {
   if (!Q.Entries.count(Content))
-    makeRoom(Q.Entries, MaxQuarantined);
+    evictIfFull(Q.Entries, MaxQuarantined);
   QuarantineEntry &E = Q.Entries[Content];
   ++E.Round;
   E.Lifted = false;
@@ -65,33 +69,33 @@
 bool quarantineCrash(Quarantine &Q, Fingerprint Content, std::uint64_t Upstream,
                      TimePoint Now) {
   auto Found = Q.Entries.find(Content);
-  if (Found != Q.Entries.end() && isHeld(Found->second, Now))
+  if (Found != Q.Entries.end() && isQuarantined(Found->second, Now))
     return false;
   if (!Q.Suspects.count(Content))
-    makeRoom(Q.Suspects, MaxSuspects);
-  std::vector<CrashMark> &Marks = Q.Suspects[Content];
-  std::erase_if(Marks, [&](const CrashMark &Mark) {
-    return Now - Mark.At > Q.Policy.Time;
+    evictIfFull(Q.Suspects, MaxSuspects);
+  std::vector<CrashRecord> &Crashes = Q.Suspects[Content];
+  std::erase_if(Crashes, [&](const CrashRecord &Crash) {
+    return Now - Crash.At > Q.Policy.Time;
   });
-  addMark(Marks, Upstream, Now);
+  addCrash(Crashes, Upstream, Now);
   bool Again = Found != Q.Entries.end() && onProbation(Found->second, Now);
-  if (!Again && Marks.size() < static_cast<std::size_t>(Q.Policy.Crashes))
+  if (!Again && Crashes.size() < static_cast<std::size_t>(Q.Policy.Crashes))
     return false;
-  hold(Q, Content, Marks.front().At, Now);
+  beginQuarantine(Q, Content, Crashes.front().At, Now);
   return true;
 }
 
 bool quarantineSuccess(Quarantine &Q, Fingerprint Content, TimePoint Now) {
-  successPlace(Q, Content) = {Content, Now};
+  successSlot(Q, Content) = {Content, Now};
   Q.Suspects.erase(Content);
   auto Found = Q.Entries.find(Content);
-  return Found != Q.Entries.end() && isHeld(Found->second, Now);
+  return Found != Q.Entries.end() && isQuarantined(Found->second, Now);
 }
 
 bool quarantineLift(Quarantine &Q, Fingerprint Content, TimePoint Now) {
   Q.Suspects.erase(Content);
   auto Found = Q.Entries.find(Content);
-  if (Found == Q.Entries.end() || !isHeld(Found->second, Now))
+  if (Found == Q.Entries.end() || !isQuarantined(Found->second, Now))
     return false;
   ++Found->second.Round;
   Found->second.Lifted = true;
@@ -99,10 +103,10 @@
   return true;
 }
 
-/// \return Whether \p Notice replaces what is known. Of two decisions of one
-/// round the lifting one holds: it rests on a run that was seen.
-static bool isNews(const QuarantineEntry &Known,
-                   const QuarantineNotice &Notice) {
+/// \return Whether \p Notice replaces the known decision. Of two decisions of
+/// the same round the one that lifts wins: it is based on an observed run.
+static bool supersedes(const QuarantineEntry &Known,
+                       const QuarantineNotice &Notice) {
   if (Notice.Round != Known.Round)
     return Notice.Round > Known.Round;
   return Notice.Lifted && !Known.Lifted;
@@ -112,20 +116,20 @@
                                 TimePoint Now) {
   auto Found = Q.Entries.find(Notice.Content);
   bool Known = Found != Q.Entries.end();
-  if (Known && !isNews(Found->second, Notice))
+  if (Known && !supersedes(Found->second, Notice))
     return QuarantineChange::None;
   TimePoint Suspected = Now - Notice.Suspected;
-  if (!Notice.Lifted && ranWellSince(Q, Notice.Content, Suspected))
+  if (!Notice.Lifted && succeededSince(Q, Notice.Content, Suspected))
     return QuarantineChange::Disputed;
-  bool Before = Known && isHeld(Found->second, Now);
+  bool Before = Known && isQuarantined(Found->second, Now);
   if (!Known)
-    makeRoom(Q.Entries, MaxQuarantined);
-  // A record's end is a wall-clock time, and clocks may be far apart.
+    evictIfFull(Q.Entries, MaxQuarantined);
+  // The expiry of a record is a wall-clock time, and clocks may differ widely.
   Duration Left = std::min(Notice.Left, Q.Policy.Time);
   Q.Entries[Notice.Content] = {Notice.Round, Notice.Lifted, Suspected,
                                Now + Left};
   Q.Suspects.erase(Notice.Content);
-  bool After = isHeld(Q.Entries[Notice.Content], Now);
+  bool After = isQuarantined(Q.Entries[Notice.Content], Now);
   if (Before == After)
     return QuarantineChange::None;
   return After ? QuarantineChange::Held : QuarantineChange::Lifted;
@@ -134,7 +138,7 @@
 std::optional<Duration> quarantineLeft(const Quarantine &Q, Fingerprint Content,
                                        TimePoint Now) {
   auto Found = Q.Entries.find(Content);
-  if (Found == Q.Entries.end() || !isHeld(Found->second, Now))
+  if (Found == Q.Entries.end() || !isQuarantined(Found->second, Now))
     return std::nullopt;
   return Found->second.Until - Now;
 }
@@ -154,8 +158,8 @@
                                                 TimePoint Now) {
   std::vector<QuarantineNotice> Out;
   for (const auto &[Content, E] : Q.Entries) {
-    // One that is over would go round for ever between nodes that have
-    // forgotten it and nodes that have not.
+    // An expired decision would be gossiped forever between nodes that have
+    // removed it and nodes that have not.
     if (Now >= E.Until)
       continue;
     Out.push_back(noticeOf(Content, E, Now));
@@ -166,14 +170,14 @@
 std::size_t quarantineSize(const Quarantine &Q, TimePoint Now) {
   return static_cast<std::size_t>(std::count_if(
       Q.Entries.begin(), Q.Entries.end(),
-      [Now](const auto &Item) { return isHeld(Item.second, Now); }));
+      [Now](const auto &Item) { return isQuarantined(Item.second, Now); }));
 }
 
-void quarantineAge(Quarantine &Q, TimePoint Now) {
+void quarantineExpire(Quarantine &Q, TimePoint Now) {
   std::erase_if(Q.Suspects, [&](const auto &Item) {
     return Now - Item.second.back().At > Q.Policy.Time;
   });
-  // A quarantine that is over is kept for as long again, so that the next
+  // An expired quarantine is kept for the same time again, so that the next
   // crash renews it.
   std::erase_if(Q.Entries, [&](const auto &Item) {
     return Now - Item.second.Until > Q.Policy.Time;
@@ -182,16 +186,16 @@
 
 std::vector<std::string> quarantineJudges(Fingerprint Content,
                                           const std::vector<std::string> &Ids) {
-  std::vector<std::string> Judges = Ids;
-  std::size_t Size = std::min(JudgeCount, Judges.size());
+  std::vector<std::string> Arbiters = Ids;
+  std::size_t Size = std::min(ArbiterCount, Arbiters.size());
   auto Heavier = [Key = Content.Value](const auto &A, const auto &B) {
     return rendezvousWeight(Key, A) > rendezvousWeight(Key, B);
   };
-  std::partial_sort(Judges.begin(),
-                    Judges.begin() + static_cast<std::ptrdiff_t>(Size),
-                    Judges.end(), Heavier);
-  Judges.resize(Size);
-  return Judges;
+  std::partial_sort(Arbiters.begin(),
+                    Arbiters.begin() + static_cast<std::ptrdiff_t>(Size),
+                    Arbiters.end(), Heavier);
+  Arbiters.resize(Size);
+  return Arbiters;
 }
 
 std::string quarantineRecord(const QuarantineNotice &Notice, WallMs Wall) {
@@ -201,7 +205,7 @@
          std::to_string(Wall + Ms(Notice.Left));
 }
 
-/// Reads the next number of \p Text and takes it off.
+/// Parses the number at the start of \p Text and removes it.
 static std::optional<WallMs> takeNumber(std::string_view &Text) {
   WallMs Value = 0;
   auto [End, Wrong] =
--- a/src/quarantine_base.h
+++ b/src/quarantine_base.h
@@ -1,4 +1,4 @@
-/// \file quarantine_base.h What a node knows of requests that may crash
+/// \file quarantine_base.h Quarantine state of one node: requests that crash
 /// upstreams.
 #ifndef FULMARSTEP_QUARANTINE_BASE_H
 #define FULMARSTEP_QUARANTINE_BASE_H
@@ -10,41 +10,42 @@
 
 namespace fulmar {
 
-/// Requests under which an upstream has ended; more are not kept in mind.
+/// Maximum number of suspects: requests during which an upstream terminated.
 inline constexpr std::size_t MaxSuspects = 4096;
-/// Requests that are quarantined at once.
+/// Maximum number of quarantine entries.
 inline constexpr std::size_t MaxQuarantined = 256;
-/// Places for requests that ended well; some seconds of a busy node.
-inline constexpr std::size_t SuccessPlaces = 4096;
+/// Slots for successful requests; enough for some seconds on a busy node.
+inline constexpr std::size_t SuccessSlots = 4096;
 
-/// An upstream ended while it ran a request.
-struct CrashMark {
+/// An upstream terminated while it ran a request.
+struct CrashRecord {
   std::uint64_t Upstream = 0; ///< Hash of its name.
-  TimePoint At{};             ///< When this node heard of it.
+  TimePoint At{};             ///< When this node learned of it.
 };
 
-/// A decision on one request.
+/// Latest decision on one request.
 struct QuarantineEntry {
-  std::uint32_t Round = 0; ///< Counts decisions; the latest holds.
-  bool Lifted = false;     ///< It was found harmless.
-  TimePoint Suspected{};   ///< First crash that counted.
-  TimePoint Until{};       ///< When the decision ends.
+  std::uint32_t Round = 0; ///< Number of the decision; the highest wins.
+  bool Lifted = false;     ///< Whether the request was found harmless.
+  TimePoint Suspected{};   ///< First crash that led to the quarantine.
+  TimePoint Until{};       ///< When the decision expires.
 };
 
-/// A request that ended well.
+/// A request that ran without a crash.
 struct RecentSuccess {
-  Fingerprint Content; ///< Which request.
-  TimePoint At{};      ///< When it ended.
+  Fingerprint Content; ///< Fingerprint of the request.
+  TimePoint At{};      ///< When it completed.
 };
 
-/// The state of one node.
+/// Quarantine state of one node.
 struct Quarantine {
-  QuarantinePolicy Policy; ///< Bounds.
-  std::unordered_map<Fingerprint, std::vector<CrashMark>>
-      Suspects; ///< Crashes by request, the oldest first.
+  QuarantinePolicy Policy; ///< Crash limit and duration.
+  std::unordered_map<Fingerprint, std::vector<CrashRecord>>
+      Suspects; ///< Crashes by request, oldest first.
   std::unordered_map<Fingerprint, QuarantineEntry> Entries; ///< By request.
-  std::array<RecentSuccess, SuccessPlaces>
-      Successes{}; ///< By fingerprint; a newer one takes the place.
+  std::array<RecentSuccess, SuccessSlots>
+      Successes{}; ///< By fingerprint modulo SuccessSlots; a newer success
+                   ///< replaces the older one in its slot.
 };
 
 } // namespace fulmar
--- a/src/quarantine_func.h
+++ b/src/quarantine_func.h
@@ -1,11 +1,12 @@
-/// \file quarantine_func.h Which requests are not sent to upstreams any more
-/// because they crash them.
+/// \file quarantine_func.h Decides which requests are no longer sent to
+/// upstreams because they crash them.
 ///
-/// Such a request comes again under other ids, at any node. Without memory of
-/// its content, each try ends as many upstreams as its route allows attempts,
-/// and whatever these upstreams run besides is lost with them. Most requests
-/// that are cut off by a crash are innocent; they run well elsewhere, and that
-/// clears them.
+/// Callers retry such a request under other ids and at any node. So requests
+/// are identified by a fingerprint of their content: otherwise each retry would
+/// crash as many upstreams as its route allows attempts, and all other requests
+/// in flight at these upstreams would be lost. Most requests that are
+/// interrupted by a crash did not cause it; they succeed at other upstreams,
+/// which clears them.
 #ifndef FULMARSTEP_QUARANTINE_FUNC_H
 #define FULMARSTEP_QUARANTINE_FUNC_H
 
@@ -17,53 +18,54 @@
 
 namespace fulmar {
 
-/// Takes in that an upstream ended while it ran a request.
-/// \return Whether the request is quarantined by that.
+/// Records that an upstream terminated while it ran a request.
+/// \return Whether this crash quarantines the request.
 bool quarantineCrash(Quarantine &Q, Fingerprint Content, std::uint64_t Upstream,
                      TimePoint Now);
 
-/// Takes in that an upstream ran a request and is still there.
-/// \return Whether the request is quarantined, wrongly as it turns out.
+/// Records that an upstream ran a request without a crash.
+/// \return Whether the request is quarantined, and should be lifted.
 bool quarantineSuccess(Quarantine &Q, Fingerprint Content, TimePoint Now);
 
-/// Ends a quarantine that was wrong.
-/// \return Whether there was one.
+/// Lifts the quarantine of a harmless request.
+/// \return Whether the request was quarantined.
 bool quarantineLift(Quarantine &Q, Fingerprint Content, TimePoint Now);
 
-/// Takes in what another node holds.
+/// Merges the decision of another node, or of the key-value service.
 QuarantineChange quarantineTake(Quarantine &Q, const QuarantineNotice &Notice,
                                 TimePoint Now);
 
-/// \return How long the request is still quarantined; nothing if it is not.
+/// \return Remaining time of the request's quarantine, or nullopt.
 std::optional<Duration> quarantineLeft(const Quarantine &Q, Fingerprint Content,
                                        TimePoint Now);
 
-/// \return What this node holds on one request.
+/// \return This node's decision on a request, which must have an entry.
 QuarantineNotice quarantineNotice(const Quarantine &Q, Fingerprint Content,
                                   TimePoint Now);
 
-/// \return All decisions that this node holds and that are not over.
+/// \return All decisions of this node that have not expired.
 std::vector<QuarantineNotice> quarantineNotices(const Quarantine &Q,
                                                 TimePoint Now);
 
-/// \return Requests that are quarantined now.
+/// \return Number of requests that are quarantined now.
 std::size_t quarantineSize(const Quarantine &Q, TimePoint Now);
 
-/// Forgets what is too old to matter.
-void quarantineAge(Quarantine &Q, TimePoint Now);
+/// Removes expired suspects and entries.
+void quarantineExpire(Quarantine &Q, TimePoint Now);
 
-/// \return The nodes among \p Ids that judge a request, the first one first.
-/// Reports go to these only: all nodes would get as many messages as there are
-/// requests under way at an upstream that ends. They are two, so that one of
-/// them may be lost together with its reports.
+/// \return The nodes among \p Ids that decide on a request, by descending rank.
+/// Crash reports are sent to these nodes only: otherwise each node would
+/// receive a message for each request in flight at a crashed upstream. There
+/// are two, so that one of them may fail together with the reports it has
+/// received.
 std::vector<std::string> quarantineJudges(Fingerprint Content,
                                           const std::vector<std::string> &Ids);
 
-/// \return A quarantine as it is kept in the key-value service.
+/// \return The record of a quarantine for the key-value service.
 std::string quarantineRecord(const QuarantineNotice &Notice, WallMs Wall);
 
-/// \return The quarantine in a record that was read at \p Wall; nothing when
-/// the record is damaged or over.
+/// \return The quarantine in a record that was read at \p Wall, or nullopt if
+/// the record is malformed or expired.
 std::optional<QuarantineNotice>
 quarantineFromRecord(Fingerprint Content, std::string_view Record, WallMs Wall);
 
--- a/src/quarantine_service.cpp
+++ b/src/quarantine_service.cpp
@@ -1,5 +1,4 @@
-/// \file quarantine_service.cpp Shares between nodes which requests crash
-/// upstreams.
+/// \file quarantine_service.cpp Distributes quarantine decisions between nodes.
 #include "quarantine_service.h"
 
 #include <algorithm>
@@ -16,15 +15,16 @@
 
 namespace fulmar {
 
-/// Between two reminders of what this node holds, and the nodes that get one:
-/// whoever started late or lost a message has it within a few periods.
-static constexpr Duration RemindPeriod = std::chrono::seconds(1);
-static constexpr std::size_t RemindedNodes = 2;
-/// Records, by fingerprint.
+/// Interval at which this node gossips its decisions, and the number of random
+/// nodes that receive them: a node that started late or lost a message learns
+/// of a decision within a few periods.
+static constexpr Duration GossipPeriod = std::chrono::seconds(1);
+static constexpr std::size_t GossipFanOut = 2;
+/// Key prefix of the records; the fingerprint follows.
 static const std::string RecordPrefix =
     std::string(FleetPrefix) + "quarantine/";
-/// Longest life of a lease.
-static constexpr Duration LongestLease = std::chrono::minutes(10);
+/// Longest time of a lease.
+static constexpr Duration MaxLeaseTime = std::chrono::minutes(10);
 
 static std::string recordKey(Fingerprint Content) {
   return RecordPrefix + fingerprintText(Content);
@@ -46,21 +46,21 @@
   Peers->on<CrashReport>(
       [this](const PeerMessage &, const CrashReport &Report) {
         for (Fingerprint Content : Report.Requests)
-          marked(Report.Upstream, Content);
+          recordCrash(Report.Upstream, Content);
       });
   Peers->on<QuarantineUpdate>(
       [this](const PeerMessage &From, const QuarantineUpdate &Update) {
         for (const QuarantineNotice &Notice : Update.Notices)
-          take(Notice, From.Sender);
+          merge(Notice, From.Sender);
       });
   Peers->on<QuarantineObjection>(
       [this](const PeerMessage &, const QuarantineObjection &Objection) {
         lift(Objection.Content);
       });
   Services.find<KvEpochs>(service::Kv).onEpoch([this](std::uint64_t) {
-    recordsLost();
+    rewriteRecords();
   });
-  Timers->every(RemindPeriod, [this] { tick(); });
+  Timers->every(GossipPeriod, [this] { tick(); });
 }
 
 void QuarantineService::upstreamEnded(
@@ -70,26 +70,27 @@
   std::vector<std::string> Ids = Members->ids();
   std::map<std::string, CrashReport> Reports;
   for (Fingerprint Content : Requests) {
-    for (const std::string &Judge : quarantineJudges(Content, Ids)) {
-      Reports[Judge].Upstream = Name;
-      Reports[Judge].Requests.push_back(Content);
+    for (const std::string &Arbiter : quarantineJudges(Content, Ids)) {
+      Reports[Arbiter].Upstream = Name;
+      Reports[Arbiter].Requests.push_back(Content);
     }
   }
   Reports.erase(Members->state().Self.Id);
-  for (auto &[Judge, Report] : Reports)
-    Peers->sendTo(Judge, std::move(Report));
-  // This node judges by what it has seen itself, too: it may be cut off from
-  // the others.
+  for (auto &[Arbiter, Report] : Reports)
+    Peers->sendTo(Arbiter, std::move(Report));
+  // This node also counts the crashes itself: it may be partitioned from the
+  // other nodes.
   for (Fingerprint Content : Requests)
-    marked(Name, Content);
+    recordCrash(Name, Content);
 }
 
-/// Takes in a crash that this node or another one has seen.
-void QuarantineService::marked(std::uint64_t Upstream, Fingerprint Content) {
+/// Records a crash that this node or another one has observed.
+void QuarantineService::recordCrash(std::uint64_t Upstream,
+                                    Fingerprint Content) {
   if (!quarantineCrash(State, Content, Upstream, Timers->now()))
     return;
   ++Counts.Held;
-  held(Content, "own");
+  quarantineBegan(Content, "own");
   announce(Content);
   Unsaved.insert(Content);
   save();
@@ -111,16 +112,17 @@
   Store->remove(recordKey(Content));
 }
 
-/// Takes in what another node, or the key-value service, holds.
-void QuarantineService::take(const QuarantineNotice &Notice,
-                             const std::string &From) {
+/// Merges a decision of another node, or of the key-value service.
+/// \param From id of the node; empty: the key-value service.
+void QuarantineService::merge(const QuarantineNotice &Notice,
+                              const std::string &From) {
   std::string Source = From.empty() ? "store" : From;
   switch (quarantineTake(State, Notice, Timers->now())) {
   case QuarantineChange::Held:
-    // The node that writes records may have missed the reports.
+    // The node that writes the record may not have received the reports.
     if (!From.empty())
       Unsaved.insert(Notice.Content);
-    return held(Notice.Content, Source);
+    return quarantineBegan(Notice.Content, Source);
   case QuarantineChange::Lifted:
     logEvent(
         LogLevel::Info, "quarantine_lifted",
@@ -140,8 +142,9 @@
   }
 }
 
-/// A request is quarantined from now on.
-void QuarantineService::held(Fingerprint Content, std::string_view Source) {
+/// Logs a new quarantine and notifies the subscriber.
+void QuarantineService::quarantineBegan(Fingerprint Content,
+                                        std::string_view Source) {
   QuarantineNotice Notice = quarantineNotice(State, Content, Timers->now());
   logEvent(LogLevel::Warning, "request_quarantined",
            {{"fingerprint", fingerprintText(Content)},
@@ -149,14 +152,14 @@
             {"round", Notice.Round},
             {"suspected_ms", toMs(Notice.Suspected)},
             {"left_ms", toMs(Notice.Left)}});
-  // The subscriber may be in the midst of a request's end.
+  // Deferred: the subscriber may be in the middle of ending a request.
   Timers->after(Duration::zero(), [this, Content] {
-    if (Hear && left(Content))
-      Hear(Content);
+    if (Subscriber && left(Content))
+      Subscriber(Content);
   });
 }
 
-/// Tells all other nodes of a decision.
+/// Sends a decision to all other nodes.
 void QuarantineService::announce(Fingerprint Content) {
   QuarantineUpdate Update{{quarantineNotice(State, Content, Timers->now())}};
   for (const std::string &Node : Members->ids()) {
@@ -166,41 +169,42 @@
 }
 
 void QuarantineService::tick() {
-  quarantineAge(State, Timers->now());
-  remindOthers();
+  quarantineExpire(State, Timers->now());
+  gossipDecisions();
   save();
 }
 
-/// The key-value service has come back from an older copy; records that were
-/// written since are gone.
-void QuarantineService::recordsLost() {
+/// Handles a restore of the key-value service from an older copy: queues all
+/// records for writing, since later ones are lost.
+void QuarantineService::rewriteRecords() {
   for (const auto &[Content, Entry] : State.Entries)
     Unsaved.insert(Content);
 }
 
-void QuarantineService::remindOthers() {
+void QuarantineService::gossipDecisions() {
   QuarantineUpdate Update{quarantineNotices(State, Timers->now())};
   if (Update.Notices.empty())
     return;
-  for (const std::string &Node : Members->randomIds(RemindedNodes))
+  for (const std::string &Node : Members->randomIds(GossipFanOut))
     Peers->sendTo(Node, Update);
 }
 
-/// Writes the next record that is missing, under a lease of its own that ends
-/// with it.
+/// Writes the next pending record, under a lease of its own that expires with
+/// the quarantine.
 void QuarantineService::save() {
   if (Saving || Unsaved.empty())
     return;
   Fingerprint Content = *Unsaved.begin();
   auto Left = left(Content);
-  std::vector<std::string> Judges = quarantineJudges(Content, Members->ids());
-  bool First = !Judges.empty() && Judges.front() == Members->state().Self.Id;
+  std::vector<std::string> Arbiters = quarantineJudges(Content, Members->ids());
+  bool First =
+      !Arbiters.empty() && Arbiters.front() == Members->state().Self.Id;
   if (!Left || !First) {
     Unsaved.erase(Content);
     return;
   }
   Saving = true;
-  Leases->grant(std::min(*Left, LongestLease),
+  Leases->grant(std::min(*Left, MaxLeaseTime),
                 [this, Content](KvStatus Status, std::uint64_t Lease) {
                   if (Status != KvStatus::Ok) {
                     Saving = false;
@@ -237,7 +241,7 @@
     auto Notice =
         quarantineFromRecord(Content, Item.Value, EventLoop::wallClock());
     if (Notice && Content != Fingerprint{})
-      take(*Notice, "");
+      merge(*Notice, "");
   }
 }
 
--- a/src/quarantine_service.h
+++ b/src/quarantine_service.h
@@ -1,5 +1,4 @@
-/// \file quarantine_service.h Shares between nodes which requests crash
-/// upstreams.
+/// \file quarantine_service.h Distributes quarantine decisions between nodes.
 #ifndef FULMARSTEP_QUARANTINE_SERVICE_H
 #define FULMARSTEP_QUARANTINE_SERVICE_H
 
@@ -16,67 +15,70 @@
 class MemberService;
 class PeerService;
 
-/// Counts for operators.
+/// Counters for operators.
 struct QuarantineCounts {
-  std::uint64_t Crashes = 0; ///< Requests under which an upstream ended here.
-  std::uint64_t Held = 0;    ///< Quarantines that began here.
-  std::uint64_t Lifted = 0;  ///< Quarantines that were wrong.
+  std::uint64_t Crashes = 0; ///< Requests of this node that an upstream
+                             ///< terminated under.
+  std::uint64_t Held = 0;    ///< Quarantines started by this node.
+  std::uint64_t Lifted = 0;  ///< Quarantines lifted by this node.
 };
 
-/// Carries out the quarantine's decisions: reports crashes to the nodes that
-/// judge, tells all nodes of a decision, and keeps it in the key-value service
-/// for nodes that start when no other is left.
+/// Reports crashes to the nodes that decide on a request, announces decisions
+/// to all nodes, and stores them in the key-value service for nodes that start
+/// when no other node is running.
 class QuarantineService : public Service {
 public:
   QuarantineService(Kernel &K, QuarantinePolicy Policy);
 
   void start() override;
 
-  /// An upstream ended while it ran these requests.
-  /// \param Upstream its name; another start of it has another one, or ends
-  /// later.
+  /// Reports that an upstream terminated while it ran \p Requests.
+  /// \param Upstream its name. A restarted upstream has another name, or
+  /// terminates later.
   void upstreamEnded(const std::string &Upstream,
                      const std::vector<Fingerprint> &Requests);
-  /// An upstream ran a request and is still there.
+  /// Records that an upstream ran a request without a crash.
   void ranWell(Fingerprint Content);
-  /// \return How long a request is still quarantined; nothing if it is not.
+  /// \return Remaining time of a request's quarantine, or nullopt.
   std::optional<Duration> left(Fingerprint Content) const;
-  /// \return Ends of upstreams under a request that this node knows of.
+  /// \return Number of known crashes of upstreams that ran a request.
   int crashes(Fingerprint Content) const;
   /// Calls \p Fn soon after a request is quarantined.
-  void onHeld(std::function<void(Fingerprint)> Fn) { Hear = std::move(Fn); }
+  void onHeld(std::function<void(Fingerprint)> Fn) {
+    Subscriber = std::move(Fn);
+  }
 
-  /// \return Requests that are quarantined now.
+  /// \return Number of requests that are quarantined now.
   std::size_t size() const;
-  /// \return Whether all records of this node are written.
+  /// \return Whether all pending records of this node have been written.
   bool saved() const { return Unsaved.empty(); }
-  /// \return Counts so far.
+  /// \return Counters since the start.
   const QuarantineCounts &counts() const { return Counts; }
 
 private:
-  void marked(std::uint64_t Upstream, Fingerprint Content);
-  void take(const QuarantineNotice &Notice, const std::string &From);
+  void recordCrash(std::uint64_t Upstream, Fingerprint Content);
+  void merge(const QuarantineNotice &Notice, const std::string &From);
   void lift(Fingerprint Content);
-  void held(Fingerprint Content, std::string_view Source);
+  void quarantineBegan(Fingerprint Content, std::string_view Source);
   void announce(Fingerprint Content);
   void tick();
-  void remindOthers();
-  void recordsLost();
+  void gossipDecisions();
+  void rewriteRecords();
   void save();
   void write(Fingerprint Content, std::uint64_t Lease);
   void readRecords(const KvItems &Found);
 
-  Kernel &Services;                      ///< Finds the others.
-  TimerService *Timers = nullptr;        ///< Time.
-  PeerService *Peers = nullptr;          ///< Carries messages.
-  MemberService *Members = nullptr;      ///< Knows the nodes.
-  KvStore *Store = nullptr;              ///< Drops records.
-  KvLeases *Leases = nullptr;            ///< Keeps records.
-  Quarantine State;                      ///< Decides.
-  std::function<void(Fingerprint)> Hear; ///< Subscriber.
-  std::set<Fingerprint> Unsaved;         ///< Their records are to be written.
-  bool Saving = false;                   ///< A record is being written.
-  QuarantineCounts Counts;               ///< For operators.
+  Kernel &Services;                 ///< Looks up other services.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  PeerService *Peers = nullptr;     ///< Sends and receives messages.
+  MemberService *Members = nullptr; ///< Provides the ids of the nodes.
+  KvStore *Store = nullptr;         ///< Removes records.
+  KvLeases *Leases = nullptr;       ///< Writes records under leases.
+  Quarantine State;                 ///< Quarantine state of this node.
+  std::function<void(Fingerprint)> Subscriber; ///< Called on each quarantine.
+  std::set<Fingerprint> Unsaved; ///< Requests whose records are pending.
+  bool Saving = false;           ///< Whether a write is in progress.
+  QuarantineCounts Counts;       ///< Counters for operators.
 };
 
 } // namespace fulmar
--- a/src/quarantine_type.h
+++ b/src/quarantine_type.h
@@ -9,45 +9,46 @@
 
 namespace fulmar {
 
-/// When a request is quarantined, and for how long.
+/// After how many crashes a request is quarantined, and for how long.
 struct QuarantinePolicy {
-  int Crashes = 3; ///< Upstreams that ended while they ran it.
-  Duration Time = std::chrono::seconds(300); ///< Until it may be tried again.
+  int Crashes = 3; ///< Crashes of upstreams that ran it.
+  Duration Time = std::chrono::seconds(300); ///< Length of a quarantine.
 };
 
-/// Tells the nodes that judge of an upstream that ended.
+/// Reports a crashed upstream to the nodes that decide on its requests.
 struct CrashReport {
   std::uint64_t Upstream = 0;        ///< Hash of its name.
-  std::vector<Fingerprint> Requests; ///< That it was running.
+  std::vector<Fingerprint> Requests; ///< Requests that it was running.
 };
 
-/// What a node holds of one request. Ages and remaining times, as clocks of
-/// different nodes differ.
+/// Decision of a node on one request. Times are relative, since the clocks of
+/// nodes differ.
 struct QuarantineNotice {
-  Fingerprint Content;     ///< Which request.
-  std::uint32_t Round = 0; ///< Counts decisions on it; the latest holds.
-  bool Lifted = false;     ///< It was found harmless.
-  Duration Suspected{};    ///< Since the first crash that counted.
-  Duration Left{};         ///< Until the decision ends.
+  Fingerprint Content;     ///< Fingerprint of the request.
+  std::uint32_t Round = 0; ///< Number of the decision; the highest wins.
+  bool Lifted = false;     ///< Whether the request was found harmless.
+  Duration Suspected{};    ///< Time since the first crash that counted.
+  Duration Left{};         ///< Time until the decision expires.
 };
 
-/// Tells other nodes what this one holds.
+/// Sends the decisions of a node to other nodes.
 struct QuarantineUpdate {
-  std::vector<QuarantineNotice> Notices; ///< In no order.
+  std::vector<QuarantineNotice> Notices; ///< Decisions, unordered.
 };
 
-/// Tells who announced a quarantine that the request has run well since it was
-/// first suspected.
+/// Tells the node that announced a quarantine that the request has run without
+/// a crash since it was first suspected.
 struct QuarantineObjection {
-  Fingerprint Content; ///< Which request.
+  Fingerprint Content; ///< Fingerprint of the request.
 };
 
-/// What a notice has changed.
+/// Effect of a merged notice.
 enum class QuarantineChange {
-  None,     ///< Nothing new.
+  None,     ///< No change.
   Held,     ///< The request is quarantined from now on.
-  Lifted,   ///< It is not any more.
-  Disputed, ///< It has run well here meanwhile; whoever announced it is wrong.
+  Lifted,   ///< The quarantine has been lifted.
+  Disputed, ///< The request has run without a crash here since; the sender is
+            ///< wrong.
   Count,    ///< Number of changes.
   Invalid,  ///< Not a change.
 };
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -1,4 +1,4 @@
-/// \file test_quarantine.cpp Requests that crash whoever runs them.
+/// \file test_quarantine.cpp Quarantine of requests that crash upstreams.
 #include <catch2/catch.hpp>
 #include <rapidcheck.h>
 
@@ -18,7 +18,7 @@
 
 const std::string Deadly = "deadly";
 
-/// Nodes before engines and plain upstreams that a request can crash.
+/// Nodes with engines and plain upstreams that a request can crash.
 struct CrashWorld : GatewayWorld {
   explicit CrashWorld(int NodeCount) {
     for (int I = 0; I < 6; ++I) {
@@ -47,7 +47,7 @@
         Loop, [&] { return Timers.now() >= End; }, Time + seconds(1));
   }
 
-  /// Sends a request and waits for its end.
+  /// Sends a request and waits for its completion.
   ClientResult askAt(std::size_t Node, const std::string &Path,
                      const std::string &Content) {
     Body = Content;
@@ -69,7 +69,7 @@
     return Nodes[Node]->services().find<QuarantineService>(service::Quarantine);
   }
 
-  /// \return Ends of upstreams under a request so far.
+  /// \return Number of crashes of upstreams so far.
   std::size_t crashes() const {
     std::size_t Sum = 0;
     for (const auto &[Instance, Runner] : Runners)
@@ -81,15 +81,15 @@
 } // namespace
 
 SCENARIO("a request that crashes upstreams comes again at any node") {
-  // Guards against a request that ends every upstream which runs it, because
-  // each of its tries has a new id and each node judges it anew.
+  // Guards against a request that crashes every upstream that runs it, because
+  // each retry has a new id and each node decides on it separately.
   CrashWorld W(3);
   std::string Path = GENERATE("/stream/x", "/get/x", "/post/x");
   for (std::size_t I = 0; I < 4; ++I) {
     W.askAt(I % 3, Path, Deadly);
     W.pass(milliseconds(300));
   }
-  THEN("no more than three upstreams end, and later tries have not run") {
+  THEN("at most three upstreams crash, and later retries are not run") {
     CHECK(W.crashes() <= 3);
     for (std::size_t I = 0; I < 6; ++I) {
       ClientResult Got = W.askAt(I % 3, Path, Deadly);
@@ -107,12 +107,12 @@
 }
 
 SCENARIO("nodes that start while a request is quarantined") {
-  // Guards against a node that lets the request through again because it was
-  // not there when its crashes were seen.
+  // Guards against a node that admits the request because it started after the
+  // crashes.
   CrashWorld W(2);
   W.quarantine("/stream/x");
   std::size_t Before = W.crashes();
-  GIVEN("one more node") {
+  GIVEN("a node that starts afterwards") {
     W.addNode();
     W.pass(milliseconds(100));
     CHECK(W.askAt(2, "/stream/x", Deadly).Answer.Status == 503);
@@ -121,13 +121,13 @@
 }
 
 SCENARIO("all nodes are killed while a request is quarantined") {
-  // Guards against a request that crashes upstreams anew after a restart of
-  // the whole fleet, in whose memory alone its quarantine was.
+  // Guards against a request that crashes upstreams again after a restart of
+  // the whole fleet, because its quarantine was kept in memory only.
   StoreMode Mode = GENERATE(StoreMode::Serving, StoreMode::Refusing);
   CrashWorld W(0);
   std::size_t Before = 0;
   {
-    // A loop of its own, so that nothing is left of the process that is killed.
+    // A separate loop, so that nothing of the killed process remains.
     TimerService Time;
     EventLoop Loop(Time);
     W.makeSettings("n0");
@@ -139,7 +139,7 @@
       });
     };
     REQUIRE(RunBoth([&] { return Killed->gateway().ready(); }));
-    // The service may be away at the moment of the decision.
+    // The key-value service may be unavailable at the time of the decision.
     W.Store.Mode = Mode;
     W.Body = Deadly;
     for (int I = 0; I < 3; ++I) {
@@ -160,9 +160,10 @@
   CHECK(W.crashes() == Before);
 }
 
-SCENARIO("a request waits for its stages while another try of it crashes") {
+SCENARIO(
+    "a request waits for its stages while a retry of it crashes upstreams") {
   // Guards against a request that is run although its content was quarantined
-  // after it was taken in.
+  // after its admission.
   CrashWorld W(1);
   W.addRunner("batch",
               {"b", milliseconds(5), 0, milliseconds(5), milliseconds(1500)});
@@ -183,8 +184,8 @@
 }
 
 SCENARIO("the try that brings a quarantine about") {
-  // Guards against a try that is told that it has not run, because it was
-  // refused on its way to a second upstream.
+  // Guards against a request that is reported as not run, although it ran at
+  // one upstream before it was refused for a second one.
   CrashWorld W(0);
   W.QuarantineCrashes = 1;
   W.addNode();
@@ -194,9 +195,9 @@
   CHECK(W.runsOfLast() == 0);
 }
 
-SCENARIO("requests that are cut off by another one's crash") {
-  // Guards against innocent requests that are quarantined because they were
-  // under way at upstreams that ended.
+SCENARIO("requests that are interrupted by a crash of another request") {
+  // Guards against harmless requests that are quarantined because they were in
+  // flight at upstreams that crashed.
   CrashWorld W(2);
   for (int Round = 0; Round < 2; ++Round) {
     W.Body = "harmless";
@@ -219,73 +220,76 @@
 namespace {
 
 const Fingerprint Suspect{7};
-constexpr Duration Hold = seconds(300);
+constexpr Duration QuarantineTime = seconds(300);
 
-/// One node's state in virtual time.
-struct Judge {
+/// Quarantine state of one node in virtual time.
+struct QuarantineNode {
   Quarantine Q;
   TimePoint Now{seconds(1000)};
 
-  /// \return Whether one more crash, some seconds later, is enough.
+  /// Records a crash four seconds later.
+  /// \return Whether it quarantines the request.
   bool crash(std::uint64_t Upstream) {
     Now += seconds(4);
     return quarantineCrash(Q, Suspect, Upstream, Now);
   }
-  bool held() const { return quarantineLeft(Q, Suspect, Now).has_value(); }
+  bool isQuarantined() const {
+    return quarantineLeft(Q, Suspect, Now).has_value();
+  }
 };
 
 } // namespace
 
 SCENARIO("when a request is quarantined") {
-  Judge J;
+  QuarantineNode J;
   REQUIRE_FALSE(J.crash(1));
   REQUIRE_FALSE(J.crash(2));
-  WHEN("a third upstream ends") {
+  WHEN("a third upstream crashes") {
     REQUIRE(J.crash(3));
-    THEN("it is held for the whole time, and then again after one crash") {
-      CHECK(J.held());
-      J.Now += Hold;
-      CHECK_FALSE(J.held());
+    THEN("it is quarantined for the whole time, and again after one crash") {
+      CHECK(J.isQuarantined());
+      J.Now += QuarantineTime;
+      CHECK_FALSE(J.isQuarantined());
       CHECK(J.crash(4));
-      CHECK(J.held());
+      CHECK(J.isQuarantined());
     }
-    THEN("it is like any other request once it is forgotten") {
-      J.Now += Hold * 2 + seconds(1);
-      quarantineAge(J.Q, J.Now);
+    THEN("it is like any other request after its entry has been removed") {
+      J.Now += QuarantineTime * 2 + seconds(1);
+      quarantineExpire(J.Q, J.Now);
       CHECK(J.Q.Entries.empty());
       CHECK_FALSE(J.crash(4));
     }
-    THEN("a run that ends well lifts it") {
+    THEN("a successful run lifts the quarantine") {
       CHECK(quarantineSuccess(J.Q, Suspect, J.Now));
       CHECK(quarantineLift(J.Q, Suspect, J.Now));
-      CHECK_FALSE(J.held());
+      CHECK_FALSE(J.isQuarantined());
       CHECK_FALSE(quarantineLift(J.Q, Suspect, J.Now));
     }
   }
-  WHEN("one end of an upstream is reported by several nodes") {
+  WHEN("one crash of an upstream is reported by several nodes") {
     for (int I = 0; I < 5; ++I)
       CHECK_FALSE(quarantineCrash(J.Q, Suspect, 2, J.Now));
   }
-  WHEN("it runs well meanwhile") {
+  WHEN("it runs successfully between the crashes") {
     CHECK_FALSE(quarantineSuccess(J.Q, Suspect, J.Now));
-    THEN("what came before does not count") {
+    THEN("earlier crashes do not count") {
       CHECK_FALSE(J.crash(3));
       CHECK_FALSE(J.crash(4));
       CHECK(J.crash(5));
     }
   }
-  WHEN("the crashes lie far apart") {
-    J.Now += Hold;
+  WHEN("the crashes are further apart than the quarantine time") {
+    J.Now += QuarantineTime;
     CHECK_FALSE(J.crash(3));
   }
 }
 
-SCENARIO("a node has seen a request run well that others suspect") {
-  Judge Here;
-  Judge There;
+SCENARIO("a request that other nodes suspect ran successfully at a node") {
+  QuarantineNode Here;
+  QuarantineNode There;
   There.crash(1);
   Here.Now = There.Now;
-  GIVEN("a run after the first crash") {
+  GIVEN("a successful run after the first crash") {
     Here.Now += seconds(1);
     quarantineSuccess(Here.Q, Suspect, Here.Now);
     There.crash(2);
@@ -293,9 +297,9 @@
     QuarantineNotice Notice = quarantineNotice(There.Q, Suspect, There.Now);
     CHECK(quarantineTake(Here.Q, Notice, There.Now) ==
           QuarantineChange::Disputed);
-    CHECK_FALSE(Here.held());
+    CHECK_FALSE(Here.isQuarantined());
   }
-  GIVEN("a run before, as under an older version of the upstreams") {
+  GIVEN("a successful run before, as with an older version of the upstreams") {
     quarantineSuccess(Here.Q, Suspect, Here.Now - seconds(1));
     There.crash(2);
     There.crash(3);
@@ -318,41 +322,41 @@
   CHECK_FALSE(quarantineFromRecord(Suspect, "3 7", 0));
 }
 
-SCENARIO("nodes agree on a request whatever order they hear in") {
-  // Guards against a quarantine that was lifted and comes back from a node
-  // that heard of it late.
+SCENARIO("nodes agree on a request in whatever order notices arrive") {
+  // Guards against a lifted quarantine that is restored by a delayed notice.
   CHECK(rc::check([] {
     auto Count = *rc::gen::inRange(1, 8);
-    std::vector<QuarantineNotice> Heard;
+    std::vector<QuarantineNotice> Notices;
     for (int I = 0; I < Count; ++I)
-      Heard.push_back({Suspect,
-                       static_cast<std::uint32_t>(*rc::gen::inRange(1, 4)),
-                       *rc::gen::arbitrary<bool>(), seconds(1), seconds(100)});
-    Judge A;
-    Judge B;
-    for (const QuarantineNotice &Notice : Heard)
+      Notices.push_back(
+          {Suspect, static_cast<std::uint32_t>(*rc::gen::inRange(1, 4)),
+           *rc::gen::arbitrary<bool>(), seconds(1), seconds(100)});
+    QuarantineNode A;
+    QuarantineNode B;
+    for (const QuarantineNotice &Notice : Notices)
       quarantineTake(A.Q, Notice, A.Now);
-    std::reverse(Heard.begin(), Heard.end());
-    for (const QuarantineNotice &Notice : Heard)
+    std::reverse(Notices.begin(), Notices.end());
+    for (const QuarantineNotice &Notice : Notices)
       quarantineTake(B.Q, Notice, B.Now);
-    RC_ASSERT(A.held() == B.held());
+    RC_ASSERT(A.isQuarantined() == B.isQuarantined());
     RC_ASSERT(A.Q.Entries[Suspect].Round == B.Q.Entries[Suspect].Round);
   }));
 }
 
-SCENARIO("the memory of crashes is bounded") {
-  Judge J;
+SCENARIO("the numbers of suspects and entries are bounded") {
+  QuarantineNode J;
   for (std::uint64_t I = 1; I < 3 * MaxSuspects; ++I)
     quarantineCrash(J.Q, Fingerprint{I}, 1, J.Now);
   CHECK(J.Q.Suspects.size() <= MaxSuspects);
   for (std::uint64_t I = 1; I < 3 * MaxQuarantined; ++I)
-    quarantineTake(J.Q, {Fingerprint{I}, 1, false, seconds(1), Hold}, J.Now);
+    quarantineTake(J.Q, {Fingerprint{I}, 1, false, seconds(1), QuarantineTime},
+                   J.Now);
   CHECK(J.Q.Entries.size() <= MaxQuarantined);
 }
 
 SCENARIO("pieces of a request crash the upstreams of a stage") {
-  // Guards against innocent requests that are quarantined together with the
-  // one whose pieces were in the same calls each time.
+  // Guards against harmless requests that are quarantined because their pieces
+  // were in the same calls as those of a deadly request each time.
   PoolWorld W(6);
   W.Deadly = Fingerprint{99};
   std::map<std::uint64_t, std::uint64_t> Ids;
@@ -368,7 +372,7 @@
     CHECK(W.Answers.at(Ids[Content]).End == BatchEnd::Done);
     CHECK(W.Crashes[Fingerprint{Content}] < 3);
   }
-  WHEN("it comes again, and its earlier crashes are known") {
+  WHEN("it is sent again, and its earlier crashes are known") {
     BatchRequest Ask = W.makeAsk(2);
     Ask.Content = W.Deadly;
     Ask.Crashes = 2;
@@ -383,8 +387,8 @@
 }
 
 SCENARIO("a request whose pieces crash upstreams comes again at any node") {
-  // Guards against upstreams of a stage that end under each try of a request,
-  // because only its run at an engine was judged by its content.
+  // Guards against upstreams of a stage that crash at each retry of a request,
+  // because crashes counted by content only at engines.
   CrashWorld W(2);
   for (int I = 0; I < 5; ++I)
     W.addRunner("batch", {"b-" + std::to_string(I)}).CrashesOn = Deadly;
