--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -1,4 +1,4 @@
-/// \file rollout.cpp How an accepted bundle reaches every node.
+/// \file rollout.cpp Distribution of accepted bundles to all nodes.
 #include "rollout_func.h"
 
 #include <algorithm>
@@ -11,10 +11,10 @@
 
 namespace fulmar {
 
-/// Steps remembered, to answer peers with differences.
+/// Maximum number of steps kept to send deltas to peers.
 static constexpr std::size_t MaxSteps = 64;
-/// After this time without an answer another peer may be asked.
-static constexpr Duration FetchTime = std::chrono::milliseconds(400);
+/// Timeout of a fetch; then it may be sent to another peer.
+static constexpr Duration FetchTimeout = std::chrono::milliseconds(400);
 
 std::uint64_t shortRoot(const Digest &Root) {
   std::uint64_t Out = 0;
@@ -34,7 +34,7 @@
   return Higher < Watchers;
 }
 
-/// The difference to ours from a version that a peer has.
+/// \return The difference from a peer's version to this node's.
 static BundleDelta deltaFrom(const Rollout &R, std::uint64_t Have,
                              const Digest &HaveRoot) {
   BundleDelta Delta;
@@ -55,7 +55,8 @@
     }
     return Delta;
   }
-  // Too far behind, or on content that we never had: the whole bundle.
+  // The peer is too far behind, or has content that this node never had: send
+  // the whole bundle.
   for (const auto &[Key, Item] : R.InForce.Items)
     Delta.Changed[Key] = Item.Json;
   return Delta;
@@ -82,12 +83,12 @@
     R.Steps.pop_front();
 }
 
-/// Checks and applies a bundle: as a whole, or not at all.
+/// Verifies and applies a bundle, as a whole or not at all.
 /// \return Whether it came into force.
 static bool apply(Rollout &R, const SignedBundle &Next, RolloutActions &Out) {
-  // The one place that decides what comes into force. A late watch, an old
-  // peer, or a restored key-value service all end here with a version that is
-  // not higher, and change nothing.
+  // The only place that decides which bundle is put in force. A late watch, an
+  // outdated peer or a restored key-value service offers a version that is not
+  // higher, and has no effect.
   if (Next.Seal.Version <= R.InForce.Seal.Version) {
     bool Fork = Next.Seal.Version == R.InForce.Seal.Version &&
                 Next.Seal.Root != R.InForce.Seal.Root;
@@ -103,7 +104,7 @@
     if (rootOf(Next.Items) == Next.Seal.Root)
       Parsed = buildBundle(Next.Items, Next.Seal.Version);
   } catch (const Error &) {
-    // Signed, but not by our rules: kept out, and counted below.
+    // Signed, but violates the rules of bundles: refused and counted below.
   }
   if (!Parsed) {
     ++R.Counts.BadContent;
@@ -117,16 +118,16 @@
   return true;
 }
 
-static void tellPeers(Rollout &R, std::span<const std::string> Peers,
-                      const std::string &Except, RolloutActions &Out) {
-  // A fetch carries our version, so to a peer that is behind it is a notice,
-  // and that peer fetches what it lacks. Sending the change itself would bring
-  // it to each node as often as it is told, three times on average.
-  std::size_t Told = 0;
+static void notifyPeers(Rollout &R, std::span<const std::string> Peers,
+                        const std::string &Except, RolloutActions &Out) {
+  // A fetch carries this node's version, so it notifies a peer that is behind,
+  // and the peer fetches the difference. Pushing the delta instead would send
+  // it to each node once per notification, three times on average.
+  std::size_t Notified = 0;
   for (const std::string &Peer : Peers) {
     if (Peer == Except)
       continue;
-    if (Told++ == R.FanOut)
+    if (Notified++ == R.FanOut)
       return;
     Out.push_back(FetchBundleAction{Peer});
   }
@@ -135,20 +136,21 @@
 void rolloutFromKv(Rollout &R, const SignedBundle &Found,
                    std::span<const std::string> Peers, RolloutActions &Out) {
   if (apply(R, Found, Out))
-    tellPeers(R, Peers, "", Out);
+    notifyPeers(R, Peers, "", Out);
 }
 
-void rolloutHeard(Rollout &R, const std::string &Node, std::uint64_t Version,
-                  std::uint64_t RootHash, TimePoint Now, RolloutActions &Out) {
+void rolloutVersionSeen(Rollout &R, const std::string &Node,
+                        std::uint64_t Version, std::uint64_t RootHash,
+                        TimePoint Now, RolloutActions &Out) {
   if (Version == R.InForce.Seal.Version && Version > 0 &&
       RootHash != shortRoot(R.InForce.Seal.Root))
     ++R.Counts.Forks;
   if (Version <= R.InForce.Seal.Version)
     return;
-  // One fetch at a time, unless a still higher version is heard of.
+  // One fetch in flight at a time, unless a still higher version is seen.
   if (Now < R.FetchUntil && Version <= R.FetchVersion)
     return;
-  R.FetchUntil = Now + FetchTime;
+  R.FetchUntil = Now + FetchTimeout;
   R.FetchVersion = Version;
   ++R.Counts.Fetches;
   Out.push_back(FetchBundleAction{Node});
@@ -163,15 +165,15 @@
   }
   std::optional<SignedBundle> Next = applyDelta(R.InForce, Delta);
   if (!Next) {
-    // It starts from another version than ours: ask for what starts here. The
-    // fetch before, if there was one, has had its answer.
+    // The delta starts from another version than this node's: fetch one that
+    // starts from this node's. The previous fetch, if any, has been answered.
     R.FetchUntil = TimePoint{};
-    return rolloutHeard(R, From, Delta.Seal.Version, shortRoot(Delta.Seal.Root),
-                        Now, Out);
+    return rolloutVersionSeen(R, From, Delta.Seal.Version,
+                              shortRoot(Delta.Seal.Root), Now, Out);
   }
   R.FetchUntil = TimePoint{};
   if (apply(R, *Next, Out))
-    tellPeers(R, Peers, From, Out);
+    notifyPeers(R, Peers, From, Out);
 }
 
 void rolloutFetch(Rollout &R, const std::string &Node, std::uint64_t Have,
--- a/src/rollout_base.h
+++ b/src/rollout_base.h
@@ -1,4 +1,4 @@
-/// \file rollout_base.h State of bundle roll-out on one node.
+/// \file rollout_base.h Bundle roll-out state of one node.
 #ifndef FULMARSTEP_ROLLOUT_BASE_H
 #define FULMARSTEP_ROLLOUT_BASE_H
 
@@ -12,52 +12,52 @@
 
 namespace fulmar {
 
-/// One step from a version to the next that was applied here.
+/// An applied change from one bundle version to the next.
 struct RolloutStep {
-  std::uint64_t FromVersion = 0; ///< Version before.
-  Digest FromRoot = {};          ///< Content before.
-  std::set<std::string> Touched; ///< Keys changed or removed by it.
+  std::uint64_t FromVersion = 0; ///< Previous version.
+  Digest FromRoot = {};          ///< Root hash of the previous version.
+  std::set<std::string> Touched; ///< Keys that the step changed or removed.
 };
 
-/// Counts for operators.
+/// Counters for operators.
 struct RolloutCounts {
-  std::uint64_t Applied = 0;    ///< Bundles that came into force.
-  std::uint64_t Lower = 0;      ///< Lower or equal versions offered, ignored.
-  std::uint64_t BadSeal = 0;    ///< Signatures that no operator's key made.
-  std::uint64_t BadContent = 0; ///< Contents that did not fit their seal.
-  std::uint64_t Forks = 0;      ///< The same version with other content.
-  std::uint64_t DeltasSent = 0; ///< Sent to peers as differences.
-  std::uint64_t WholeSent = 0;  ///< Sent to peers whole.
-  std::uint64_t Fetches = 0;    ///< Asked of peers.
+  std::uint64_t Applied = 0; ///< Bundles applied.
+  std::uint64_t Lower = 0;   ///< Bundles ignored, not newer than that in force.
+  std::uint64_t BadSeal = 0; ///< Bundles without a valid signature.
+  std::uint64_t BadContent = 0; ///< Bundles that do not match their seal.
+  std::uint64_t Forks = 0;      ///< Equal version with different content.
+  std::uint64_t DeltasSent = 0; ///< Deltas sent to peers.
+  std::uint64_t WholeSent = 0;  ///< Whole bundles sent to peers.
+  std::uint64_t Fetches = 0;    ///< Fetches sent for newer versions.
 };
 
-/// Bundle roll-out on one node.
+/// Bundle roll-out state of one node.
 struct Rollout {
-  SignedBundle InForce;                  ///< Version 0: none yet.
-  std::deque<RolloutStep> Steps;         ///< Latest last.
-  std::vector<std::string> OperatorKeys; ///< NAME:HEX.
-  std::size_t FanOut = 3;                ///< Peers told of a new version.
+  SignedBundle InForce;                  ///< Version 0: none.
+  std::deque<RolloutStep> Steps;         ///< Recent steps, oldest first.
+  std::vector<std::string> OperatorKeys; ///< Each as NAME:HEX.
+  std::size_t FanOut = 3;                ///< Peers notified of a new version.
 
-  TimePoint FetchUntil{};         ///< An earlier fetch may still answer.
-  std::uint64_t FetchVersion = 0; ///< Version that it is to bring.
-  RolloutCounts Counts;           ///< For operators.
+  TimePoint FetchUntil{};         ///< Timeout of the fetch in flight.
+  std::uint64_t FetchVersion = 0; ///< Version that it should return.
+  RolloutCounts Counts;           ///< Counters for operators.
 };
 
-/// Ask a peer for what leads to its version.
+/// Request the difference to a peer's version from it.
 struct FetchBundleAction {
-  std::string Node; ///< Whom.
+  std::string Node; ///< Id of the peer.
 };
 /// Send a delta to a peer.
 struct SendDeltaAction {
-  std::string Node;  ///< Whom.
-  BundleDelta Delta; ///< What.
+  std::string Node;  ///< Id of the peer.
+  BundleDelta Delta; ///< Delta, or whole bundle, to send.
 };
-/// Take the new bundle into force.
+/// Put the new bundle in force.
 struct InForceAction {
-  BundlePtr Next; ///< Parsed.
+  BundlePtr Next; ///< Parsed bundle.
 };
 
-/// Anything that roll-out asks its surroundings to do.
+/// An action that roll-out requests from its service.
 using RolloutAction =
     std::variant<FetchBundleAction, SendDeltaAction, InForceAction>;
 using RolloutActions = std::vector<RolloutAction>;
--- a/src/rollout_service.cpp
+++ b/src/rollout_service.cpp
@@ -1,4 +1,4 @@
-/// \file rollout_service.cpp Carries out bundle roll-out's actions.
+/// \file rollout_service.cpp Runs bundle roll-out: watches and messages.
 #include "rollout_service.h"
 
 #include "bundle_func.h"
@@ -14,11 +14,11 @@
 
 static constexpr Duration WatchTime = std::chrono::seconds(30);
 static constexpr Duration FirstBackOff = std::chrono::milliseconds(200);
-static constexpr int MostDoublings = 4;
-/// Peers considered when a new version is passed on.
+static constexpr int MaxBackOffDoublings = 4;
+/// Random peers that are candidates for a notification of a new version.
 static constexpr std::size_t PeerSample = 4;
-/// A node without a bundle asks a peer this often.
-static constexpr Duration ColdAskPeriod = std::chrono::milliseconds(500);
+/// Pause before the next watch of a key that does not exist yet.
+static constexpr Duration MissingKeyPause = std::chrono::milliseconds(500);
 
 RolloutService::RolloutService(Kernel &K, const Settings &S, std::uint64_t Seed)
     : Services(K), Config(S), Rng(Seed) {
@@ -31,11 +31,11 @@
   Router = &Services.find<RouterService>(service::Router);
   Peers = &Services.find<PeerService>(service::Peers);
   Members = &Services.find<MemberService>(service::Members);
-  Members->onChange([this] { consider(); });
+  Members->onChange([this] { updateWatch(); });
   Peers->onAny([this](const PeerMessage &Message) {
     RolloutActions Out;
-    rolloutHeard(State, Message.Sender, Message.BundleVersion,
-                 Message.BundleRoot, Timers->now(), Out);
+    rolloutVersionSeen(State, Message.Sender, Message.BundleVersion,
+                       Message.BundleRoot, Timers->now(), Out);
     perform(Out);
   });
   Peers->on<BundleFetch>([this](const PeerMessage &Message,
@@ -51,43 +51,44 @@
         rolloutDelta(State, Delta, Sample, Timers->now(), Message.Sender, Out);
         perform(Out);
       });
-  // Until it knows its failure domain's nodes, each node is a watcher, so that
-  // a cold start does not wait for membership.
-  consider();
+  // Each node is a watcher until it knows the other nodes of its failure
+  // domain, so that a cold start does not wait for membership.
+  updateWatch();
 }
 
 void RolloutService::stop() { Stopped = true; }
 
-void RolloutService::consider() {
-  bool Should = isWatcher(Members->domainIds(), Config.NodeId,
-                          static_cast<std::size_t>(Config.WatchersPerDomain));
-  if (!Should || Watching || Stopped)
+void RolloutService::updateWatch() {
+  bool IsWatcher =
+      isWatcher(Members->domainIds(), Config.NodeId,
+                static_cast<std::size_t>(Config.WatchersPerDomain));
+  if (!IsWatcher || Watching || Stopped)
     return;
   Watching = true;
-  watchOnce();
+  startWatch();
 }
 
-void RolloutService::watchOnce() {
+void RolloutService::startWatch() {
   Kv->watch(BundleKey, SeenIndex, WatchTime,
             [this](KvStatus Status, const KvEntry &Entry) {
-              watched(Status, Entry);
+              watchEnded(Status, Entry);
             });
 }
 
-void RolloutService::watched(KvStatus Status, const KvEntry &Entry) {
+void RolloutService::watchEnded(KvStatus Status, const KvEntry &Entry) {
   if (Stopped)
     return;
   Watching = isWatcher(Members->domainIds(), Config.NodeId,
                        static_cast<std::size_t>(Config.WatchersPerDomain));
   if (Status != KvStatus::Ok) {
-    // Jitter, so that watchers do not come back all at once after an outage.
+    // Jitter, so that not all watchers retry at once after an outage.
     double Factor = 0.5 + randomUnit(Rng);
     Duration Wait =
-        FirstBackOff * (1 << std::min(FailuresInRow, MostDoublings));
+        FirstBackOff * (1 << std::min(FailuresInRow, MaxBackOffDoublings));
     if (FailuresInRow++ == 0)
       logEvent(LogLevel::Warning, "kv_unavailable", {{"use", "bundle"}});
     if (Watching)
-      Timers->after(fromMs(toMs(Wait) * Factor), [this] { watchOnce(); });
+      Timers->after(fromMs(toMs(Wait) * Factor), [this] { startWatch(); });
     return;
   }
   FailuresInRow = 0;
@@ -108,11 +109,11 @@
   }
   if (!Watching)
     return;
-  // An entry that is not there yet answers at once; do not spin on it.
+  // A watch of a key that does not exist returns at once; avoid a busy loop.
   if (Entry.Index == 0)
-    Timers->after(ColdAskPeriod, [this] { watchOnce(); });
+    Timers->after(MissingKeyPause, [this] { startWatch(); });
   else
-    watchOnce();
+    startWatch();
 }
 
 void RolloutService::inForce(const InForceAction &Action) {
--- a/src/rollout_service.h
+++ b/src/rollout_service.h
@@ -1,4 +1,4 @@
-/// \file rollout_service.h Carries out bundle roll-out's actions.
+/// \file rollout_service.h Runs bundle roll-out: watches and messages.
 #ifndef FULMARSTEP_ROLLOUT_SERVICE_H
 #define FULMARSTEP_ROLLOUT_SERVICE_H
 
@@ -15,7 +15,7 @@
 class PeerService;
 class MemberService;
 
-/// Roll-out with its I/O.
+/// Bundle roll-out with its watches of the key-value service and its messages.
 class RolloutService : public Service {
 public:
   RolloutService(Kernel &K, const Settings &S, std::uint64_t Seed);
@@ -23,7 +23,7 @@
   void start() override;
   void stop() override;
 
-  /// \return The state, for status pages and metrics.
+  /// \return The roll-out state, for status pages and metrics.
   const Rollout &state() const { return State; }
   /// \return Whether this node watches the key-value service.
   bool watching() const { return Watching; }
@@ -31,27 +31,28 @@
 private:
   void perform(const RolloutActions &Actions);
   void inForce(const InForceAction &Action);
-  void consider();
-  void watchOnce();
-  void watched(KvStatus Status, const KvEntry &Entry);
-
-  Kernel &Services;                 ///< Finds the others.
-  const Settings &Config;           ///< Keys and watchers.
-  TimerService *Timers = nullptr;   ///< Time.
-  KvStore *Kv = nullptr;            ///< Keeps the bundle.
-  RouterService *Router = nullptr;  ///< Gets the bundle in force.
-  PeerService *Peers = nullptr;     ///< Carries deltas.
-  MemberService *Members = nullptr; ///< Knows peers.
-  Rollout State;                    ///< Decides.
-  bool Watching = false;            ///< A watch is waiting or about to.
-  bool Stopped = false;             ///< No more watches.
-  bool KvBehind = false;            ///< The service has a lower version.
-  std::uint64_t SeenIndex = 0;      ///< Of the key-value entry.
-  int FailuresInRow = 0;            ///< For the back-off.
-  Random Rng;                       ///< For its jitter.
+  void updateWatch();
+  void startWatch();
+  void watchEnded(KvStatus Status, const KvEntry &Entry);
+
+  Kernel &Services;                 ///< Looks up other services.
+  const Settings &Config;           ///< Operator keys and watchers per domain.
+  TimerService *Timers = nullptr;   ///< Clock and timers.
+  KvStore *Kv = nullptr;            ///< Holds the bundle.
+  RouterService *Router = nullptr;  ///< Receives the bundle in force.
+  PeerService *Peers = nullptr;     ///< Sends and receives messages.
+  MemberService *Members = nullptr; ///< Provides peers and failure domains.
+  Rollout State;                    ///< Roll-out state of this node.
+  bool Watching = false;            ///< Whether a watch is active or scheduled.
+  bool Stopped = false;             ///< Whether the service has been stopped.
+  bool KvBehind = false;            ///< Whether the key-value service has no
+                                    ///< readable bundle or a lower version.
+  std::uint64_t SeenIndex = 0;      ///< Index of the latest entry read.
+  int FailuresInRow = 0;            ///< Consecutive failed watches.
+  Random Rng;                       ///< Jitter of the back-off.
 };
 
-/// Key of the bundle in force.
+/// Key of the bundle in force in the key-value service.
 inline constexpr const char *BundleKey = "fulmarstep/bundle/head";
 
 } // namespace fulmar
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -1,4 +1,4 @@
-// Bundle roll-out: commands of operators, and nodes that pass deltas on.
+// Bundle roll-out: operator commands, and distribution by deltas between nodes.
 #include "bundle_cmd.h"
 #include "bundle_func.h"
 #include "peer_codec.h"
@@ -14,7 +14,8 @@
   return Key;
 }
 
-/// A bundle with \p Pools pools, the weight of one organisation as its change.
+/// \return A signed bundle with 20 pools; \p Weight is the weight of its only
+/// organisation.
 static SignedBundle versionOf(std::uint64_t Version, int Weight = 1,
                               const SigningKey &Key = operatorKey()) {
   std::string Text = R"({"organisations": [ {"name": "o", "weight": )" +
@@ -40,7 +41,7 @@
   return R.InForce.Seal.Version;
 }
 
-SCENARIO("a node takes only what operators signed, and only forwards") {
+SCENARIO("a node applies only signed bundles of a higher version") {
   Rollout R = node();
   RolloutActions Out;
   rolloutFromKv(R, versionOf(5), {}, Out);
@@ -50,17 +51,17 @@
     CHECK(version(R) == 5);
     CHECK(R.Counts.Lower == 1);
   }
-  SECTION("the same version with other content is a fork, not an update") {
+  SECTION("the same version with different content is a fork, not an update") {
     rolloutFromKv(R, versionOf(5, 9), {}, Out);
     CHECK(R.Counts.Forks == 1);
     CHECK(Out.size() == 1);
   }
-  SECTION("a stranger's key is refused") {
+  SECTION("a bundle signed by an unknown key is refused") {
     rolloutFromKv(R, versionOf(6, 9, makeSigningKey()), {}, Out);
     CHECK(version(R) == 5);
     CHECK(R.Counts.BadSeal == 1);
   }
-  SECTION("content that does not fit its seal is refused") {
+  SECTION("content that does not match its seal is refused") {
     SignedBundle Bad = versionOf(6, 9);
     Bad.Items.erase("pools/p3");
     rolloutFromKv(R, Bad, {}, Out);
@@ -69,7 +70,7 @@
   }
 }
 
-SCENARIO("peers pass on what changed") {
+SCENARIO("peers distribute changes as deltas") {
   Rollout A = node(), B = node();
   RolloutActions Out;
   rolloutFromKv(A, versionOf(1, 1), {}, Out);
@@ -77,18 +78,19 @@
   Out.clear();
   std::vector<std::string> Peers = {"b"};
   rolloutFromKv(A, versionOf(2, 2), Peers, Out);
-  // A tells B by a fetch that carries its version; B fetches what it lacks.
+  // A notifies B by a fetch that carries its version; B fetches the difference.
   REQUIRE(std::get<FetchBundleAction>(Out.back()).Node == "b");
   RolloutActions Asked;
-  rolloutHeard(B, "a", 2, shortRoot(A.InForce.Seal.Root), TimePoint{}, Asked);
+  rolloutVersionSeen(B, "a", 2, shortRoot(A.InForce.Seal.Root), TimePoint{},
+                     Asked);
   REQUIRE(std::get<FetchBundleAction>(Asked.back()).Node == "a");
   rolloutFetch(A, "b", version(B), B.InForce.Seal.Root, Out);
   const SendDeltaAction Sent = std::get<SendDeltaAction>(Out.back());
-  THEN("one changed item travels as one item") {
+  THEN("a change of one item is sent as one item") {
     CHECK(Sent.Delta.Changed.size() == 1);
     CHECK(encodePeer({"a", 1, 1, 0, 2, 0, Sent.Delta}, "k").size() < 500);
   }
-  THEN("and brings the peer to the same content") {
+  THEN("the delta brings the peer to the same content") {
     RolloutActions Next;
     rolloutDelta(B, Sent.Delta, {}, TimePoint{}, "a", Next);
     CHECK(version(B) == 2);
@@ -98,7 +100,8 @@
     rolloutFromKv(A, versionOf(3, 3), {}, Out);
     rolloutFromKv(A, versionOf(4, 4), {}, Out);
     RolloutActions Next;
-    rolloutHeard(B, "a", 4, shortRoot(A.InForce.Seal.Root), TimePoint{}, Next);
+    rolloutVersionSeen(B, "a", 4, shortRoot(A.InForce.Seal.Root), TimePoint{},
+                       Next);
     REQUIRE(std::get<FetchBundleAction>(Next[0]).Node == "a");
     rolloutFetch(A, "b", version(B), B.InForce.Seal.Root, Next);
     rolloutDelta(B, std::get<SendDeltaAction>(Next[1]).Delta, {}, TimePoint{},
@@ -111,11 +114,11 @@
   GIVEN("a node that starts while the key-value service is down") {
     Rollout C = node();
     RolloutActions Next;
-    rolloutHeard(C, "a", 2, 0, TimePoint{}, Next);
+    rolloutVersionSeen(C, "a", 2, 0, TimePoint{}, Next);
     rolloutFetch(A, "c", 0, Digest{}, Next);
     rolloutDelta(C, std::get<SendDeltaAction>(Next[1]).Delta, {}, TimePoint{},
                  "a", Next);
-    THEN("it has the peers' version, whole") {
+    THEN("it receives the whole bundle from a peer") {
       CHECK(version(C) == 2);
       CHECK(A.Counts.WholeSent == 1);
     }
@@ -125,15 +128,15 @@
     Bad.Changed.begin()->second += " ";
     RolloutActions Next;
     rolloutDelta(B, Bad, {}, TimePoint{}, "a", Next);
-    THEN("nothing of it is applied, and the whole is asked for") {
+    THEN("it is not applied, and the node fetches again") {
       CHECK(version(B) == 1);
       CHECK(std::holds_alternative<FetchBundleAction>(Next[0]));
     }
   }
 }
 
-TEST_CASE("however deltas are lost, repeated and reordered, versions only "
-          "rise, and end up equal (property)") {
+TEST_CASE("with lost, duplicated and reordered deltas, versions only rise, "
+          "and converge (property)") {
   CHECK(rc::check("monotonic", [](std::uint64_t Seed) {
     Random Rng(Seed);
     std::vector<Rollout> Nodes(6, node());
@@ -165,8 +168,8 @@
     };
     auto Gossip = [&](std::size_t To, std::size_t From) {
       RolloutActions Out;
-      rolloutHeard(Nodes[To], Names[From], version(Nodes[From]),
-                   shortRoot(Nodes[From].InForce.Seal.Root), Now, Out);
+      rolloutVersionSeen(Nodes[To], Names[From], version(Nodes[From]),
+                         shortRoot(Nodes[From].InForce.Seal.Root), Now, Out);
       Perform(To, Out);
     };
     for (int Step = 0; Step < 60; ++Step) {
@@ -201,7 +204,7 @@
   }));
 }
 
-/// The key-value service, as commands see it.
+/// Mock of the key-value service that commands use.
 struct MockKv : BlockingKv {
   MAKE_MOCK2(get, KvStatus(const std::string &, KvEntry &), override);
   MAKE_MOCK3(cas,
@@ -215,7 +218,7 @@
   SignedBundle Before = versionOf(3), Next = versionOf(4, 2);
   KvEntry Old{encodeBundle(Before), 17};
   std::vector<std::string> Keys = {"op:" + operatorKey().PublicHex};
-  SECTION("it is written under the index that was read") {
+  SECTION("it is written with compare-and-swap on the index that was read") {
     REQUIRE_CALL(Kv, get(BundleKey, _))
         .LR_SIDE_EFFECT(_2 = Old)
         .RETURN(KvStatus::Ok);
@@ -223,7 +226,7 @@
     CHECK(acceptBundle(Kv, Next, Keys, CommandMode::Execute).Code ==
           ResultCode::Complete);
   }
-  SECTION("a test run says the same and writes nothing") {
+  SECTION("a test run returns the same result and writes nothing") {
     REQUIRE_CALL(Kv, get(BundleKey, _))
         .LR_SIDE_EFFECT(_2 = Old)
         .RETURN(KvStatus::Ok);
@@ -231,7 +234,7 @@
     CHECK(acceptBundle(Kv, Next, Keys, CommandMode::Test).Code ==
           ResultCode::Complete);
   }
-  SECTION("an operator who was faster is named") {
+  SECTION("a conflict names the operator of the accepted bundle") {
     KvEntry Theirs{encodeBundle(versionOf(4, 77)), 18};
     REQUIRE_CALL(Kv, get(BundleKey, _))
         .LR_SIDE_EFFECT(_2 = Theirs)
@@ -240,10 +243,10 @@
     CHECK(R.Code == ResultCode::BundleConflict);
     CHECK_THAT(R.Message, Catch::Contains("signed by op: \"weight 77\""));
   }
-  SECTION("the answer is lost after the write took effect") {
-    // Symptom: an operator is told of a conflict with himself. Sequence: the
-    // write takes effect, its answer is lost, the command reads again. Cause:
-    // not knowing one's own write.
+  SECTION("the response is lost after the write took effect") {
+    // Symptom: an operator gets a conflict with their own write. Sequence: the
+    // write takes effect, its response is lost, the command reads again. Cause:
+    // the command did not recognise its own write.
     KvEntry Ours{encodeBundle(Next), 18};
     trompeloeil::sequence Steps;
     REQUIRE_CALL(Kv, get(_, _))
@@ -258,7 +261,7 @@
     CHECK(acceptBundle(Kv, Next, Keys, CommandMode::Execute).Code ==
           ResultCode::Complete);
   }
-  SECTION("a stranger's signature is refused before anything is read") {
+  SECTION("an unknown signature is refused before anything is read") {
     FORBID_CALL(Kv, get(_, _));
     CHECK(acceptBundle(Kv, versionOf(4, 2, makeSigningKey()), Keys,
                        CommandMode::Execute)
