--- a/src/state_sync.cpp
+++ b/src/state_sync.cpp
@@ -1,4 +1,5 @@
-/// \file state_sync.cpp Which nodes read the key-value service for the others.
+/// \file state_sync.cpp Selects the nodes that read the key-value service for
+/// the others.
 #include <algorithm>
 #include <span>
 #include <tuple>
@@ -9,23 +10,24 @@
 
 namespace fulmar {
 
-/// Chooses the same readers on every node.
+/// Rendezvous hashing key; equal on all nodes, so that all select the same
+/// readers.
 static constexpr std::uint64_t ReaderKey = 0x7265616465722e31;
 
-/// A node may read or relay if its host has this part of the strength of the
-/// strongest one: lists and configurations for many nodes go over its link.
-static constexpr double StrengthShare = 0.7;
+/// Minimum strength of a reader's or relay's host, as a share of the strongest
+/// one: it sends lists and configurations to many nodes over its link.
+static constexpr double MinStrengthShare = 0.7;
 
 using Nodes = std::vector<const MemberInfo *>;
 
-/// Nodes that say they are not up to date by their own means are left out while
-/// this part of the fleet is. Where fewer are, a fleet is starting, or the
-/// key-value service is away: if each node that comes back first were asked by
-/// all, it would be crushed, and with each node on its own the fleet would call
-/// a service that is down a thousand times a second.
-static constexpr double SoundShare = 0.5;
+/// Nodes that are not healthy are left out while at least this share of the
+/// fleet is healthy. With fewer healthy nodes the fleet is starting, or the
+/// key-value service is unavailable: if all nodes queried the first node to
+/// recover, it would be overloaded, and if each node read itself, the fleet
+/// would call an unavailable service a thousand times a second.
+static constexpr double MinHealthyShare = 0.5;
 
-/// \return The nodes that may read for others.
+/// \return The nodes that may read or relay.
 static Nodes candidates(const Membership &M,
                         const std::set<std::string> &Silent) {
   Nodes Out;
@@ -35,20 +37,22 @@
     if (memberServes(Other.Info.State) && !Silent.count(Id))
       Out.push_back(&Other.Info);
   }
-  auto Unsound = [](const MemberInfo *Info) { return !memberHealthy(*Info); };
-  auto Lost =
-      static_cast<double>(std::count_if(Out.begin(), Out.end(), Unsound));
-  if (Lost <= (1 - SoundShare) * static_cast<double>(Out.size()))
-    std::erase_if(Out, Unsound);
+  auto IsUnhealthy = [](const MemberInfo *Info) {
+    return !memberHealthy(*Info);
+  };
+  auto Unhealthy =
+      static_cast<double>(std::count_if(Out.begin(), Out.end(), IsUnhealthy));
+  if (Unhealthy <= (1 - MinHealthyShare) * static_cast<double>(Out.size()))
+    std::erase_if(Out, IsUnhealthy);
   return Out;
 }
 
-/// Leaves out the nodes of weak hosts, while the strong ones are enough.
-static void keepStrong(Nodes &All, std::size_t Wanted) {
+/// Removes the nodes of weak hosts if at least \p Wanted strong ones remain.
+static void keepStrongHosts(Nodes &All, std::size_t Wanted) {
   std::uint32_t Strongest = 0;
   for (const MemberInfo *Info : All)
     Strongest = std::max(Strongest, Info->Strength);
-  auto Weak = [Least = StrengthShare * Strongest](const MemberInfo *Info) {
+  auto Weak = [Least = MinStrengthShare * Strongest](const MemberInfo *Info) {
     return Info->Strength < Least;
   };
   auto Strong = All.size() - static_cast<std::size_t>(
@@ -57,7 +61,7 @@
     std::erase_if(All, Weak);
 }
 
-/// Sorts nodes in an order that is the same on every node, sound ones first.
+/// Sorts nodes in the same order on each node, healthy ones first.
 static void sortByRank(Nodes &All) {
   using Rank = std::tuple<bool, std::uint64_t, const MemberInfo *>;
   std::vector<Rank> Ranked;
@@ -70,8 +74,8 @@
     All[I] = std::get<const MemberInfo *>(Ranked[I]);
 }
 
-/// \return One of \p From, different ones for different nodes. Its own failure
-/// domain goes first: a question there costs the least.
+/// \return One of \p From, spread over the querying nodes. Nodes of the same
+/// failure domain are preferred: queries within it cost the least.
 static std::string nearest(const Membership &M,
                            std::span<const MemberInfo *> From) {
   std::string Best = M.Self.Id;
@@ -92,10 +96,10 @@
                             const std::set<std::string> &Silent) {
   Nodes All = candidates(M, Silent);
   std::size_t Fleet = All.size();
-  std::size_t Readers = std::min(1 + Fleet / NodesPerReader, MostReaders);
-  bool Tiered = Fleet >= MostReaders * NodesPerReader;
+  std::size_t Readers = std::min(1 + Fleet / NodesPerReader, MaxReaders);
+  bool Tiered = Fleet >= MaxReaders * NodesPerReader;
   std::size_t Relays = Tiered ? 1 + Fleet / NodesPerRelay : Readers;
-  keepStrong(All, std::max(Readers, Relays / 2));
+  keepStrongHosts(All, std::max(Readers, Relays / 2));
   sortByRank(All);
   All.resize(std::min(All.size(), Relays));
   std::span<const MemberInfo *> Sources(All);
--- a/src/state_sync_func.h
+++ b/src/state_sync_func.h
@@ -1,5 +1,5 @@
-/// \file state_sync_func.h Which nodes read the key-value service for the
-/// others.
+/// \file state_sync_func.h Selects the nodes that read the key-value service
+/// for the others.
 #ifndef FULMARSTEP_STATE_SYNC_FUNC_H
 #define FULMARSTEP_STATE_SYNC_FUNC_H
 
@@ -9,44 +9,45 @@
 
 namespace fulmar {
 
-/// Nodes that one reader serves. A question and its answer are 200 bytes, three
-/// times a second: 15 kB a second for so many, and less than a hundredth of a
-/// core.
+/// Nodes that one reader serves. A request and its response are 200 bytes,
+/// three times a second: 15 kB a second for so many nodes, and less than a
+/// hundredth of a core.
 inline constexpr std::size_t NodesPerReader = 75;
-/// Readers of the key-value service, however large the fleet is: its rates and
-/// its link grow more slowly than the fleet. Where these are too few for all
-/// nodes, relays ask them, and the other nodes ask a relay.
-inline constexpr std::size_t MostReaders = 5;
-/// Nodes that one relay serves. At a start each of them gets the whole list of
-/// upstreams through the relay's link.
+/// Maximum number of readers of the key-value service in a fleet of any size:
+/// its rate limits and its link grow more slowly than the fleet. Where the
+/// readers are too few for all nodes, relays query them, and other nodes query
+/// a relay.
+inline constexpr std::size_t MaxReaders = 5;
+/// Nodes that one relay serves. At a start of the fleet each of them receives
+/// the whole list of upstreams over the relay's link.
 inline constexpr std::size_t NodesPerRelay = 20;
 
-/// How a node follows the key-value service.
+/// How a node follows the state of the key-value service.
 enum class SyncRole {
-  Reader,   ///< Reads it.
-  Relay,    ///< Asks a reader, and is asked by others.
-  Follower, ///< Asks a reader, or a relay where there are any.
+  Reader,   ///< Reads the key-value service.
+  Relay,    ///< Queries a reader, and is queried by followers.
+  Follower, ///< Queries a relay, or a reader where there are no relays.
   Count,    ///< Number of roles.
   Invalid,  ///< Not a role.
 };
 
-/// From whom a node hears of the key-value service.
+/// Source from which a node follows the key-value service.
 struct SyncSource {
-  SyncRole Role = SyncRole::Reader; ///< Of the node itself.
-  std::string Node;                 ///< Whom it asks; itself, if it reads.
+  SyncRole Role = SyncRole::Reader; ///< Role of the node itself.
+  std::string Node; ///< Id of the queried node; its own for a reader.
 };
 
-/// Chooses from whom this node hears of the key-value service.
+/// Selects the source from which this node follows the key-value service.
 ///
-/// Each call to the service costs, a waiting one too, and its rates grow more
-/// slowly than the fleet. That nothing has changed can be told by whoever has
-/// looked, so few nodes do, and not one of each failure domain. A node whose
-/// source is silent soon asks another one.
-/// \param Silent nodes that did not answer lately.
+/// Each call to the service has a cost, long polls included, and its rate
+/// limits grow more slowly than the fleet. A node that has read it can tell
+/// others that nothing has changed, so a few nodes read, not one of each
+/// failure domain. A node whose source does not respond soon queries another
+/// one. \param Silent nodes to leave out because they recently did not respond.
 SyncSource chooseSyncSource(const Membership &M,
                             const std::set<std::string> &Silent);
 
-/// \return The node that this one hears from; its own id when it reads itself.
+/// \return Id of the node that this one queries; its own id for a reader.
 inline std::string chooseReader(const Membership &M) {
   return chooseSyncSource(M, {}).Node;
 }
--- a/src/state_sync_service.cpp
+++ b/src/state_sync_service.cpp
@@ -1,4 +1,5 @@
-/// \file state_sync_service.cpp Asks another node whether anything has changed.
+/// \file state_sync_service.cpp Follows the key-value service through other
+/// nodes.
 #include "state_sync_service.h"
 
 #include <algorithm>
@@ -17,38 +18,39 @@
 
 namespace fulmar {
 
-/// Between two questions of a relay; other nodes ask half as often. With the
-/// reader's own pause of 900 ms between reads, a change is known everywhere
-/// after 1.3 s at most where nodes ask readers, and somewhat later by way of
-/// relays.
-static constexpr Duration AskPeriod = std::chrono::milliseconds(150);
-/// Without an answer for this long, another node is asked.
-static constexpr Duration AnswerPatience = std::chrono::milliseconds(450);
-/// The same where lists are compared: a large part of one over a small host's
-/// link takes some hundred ms.
-static constexpr Duration ComparePatience = std::chrono::milliseconds(900);
-/// In a large fleet a node that knows nothing more recent is not asked for a
-/// while: the key-value service may turn it away, or those that it asks.
-static constexpr Duration MostSourceAge = std::chrono::milliseconds(1300);
-/// For the next part of an answer.
-static constexpr Duration PartPatience = std::chrono::milliseconds(300);
-/// How long a silent node is not asked.
-static constexpr Duration SilentTime = std::chrono::seconds(2);
-/// Questions that answers are waited for at once.
-static constexpr std::size_t MostQuestions = 8;
-/// Between two looks at whether this node knows the others.
+/// Interval between requests of a relay; followers send half as many. With the
+/// reader's pause of 900 ms between reads, a change reaches all nodes after at
+/// most 1.3 s where nodes query readers, and somewhat later through relays.
+static constexpr Duration RequestPeriod = std::chrono::milliseconds(150);
+/// After this time without a response another node is queried.
+static constexpr Duration ResponseTimeout = std::chrono::milliseconds(450);
+/// The same while lists are compared: to send a large part of a list over a
+/// small host's link takes some hundred ms.
+static constexpr Duration CompareTimeout = std::chrono::milliseconds(900);
+/// Maximum age of a source's configuration. In a large fleet an older source is
+/// excluded for a while: the key-value service may be refusing its calls, or
+/// those of the nodes that it queries.
+static constexpr Duration MaxSourceAge = std::chrono::milliseconds(1300);
+/// Timeout of the next part of a response.
+static constexpr Duration NextPartTimeout = std::chrono::milliseconds(300);
+/// How long an unresponsive or stale node is excluded.
+static constexpr Duration ExclusionTime = std::chrono::seconds(2);
+/// Maximum number of requests in flight.
+static constexpr std::size_t MaxPendingRequests = 8;
+/// Interval between checks whether membership has settled.
 static constexpr Duration SettlePeriod = std::chrono::milliseconds(10);
-/// Nodes from which on each leaves reading to others. Up to it the service
-/// bears that all of them read at once, as after a restart of the fleet.
-static constexpr std::size_t LeaveReadingFrom = 128;
+/// Fleet size from which on nodes leave reading to the readers. In a smaller
+/// fleet the service can handle reads of all nodes at once, as after a restart
+/// of the fleet.
+static constexpr std::size_t MinDelegatingFleet = 128;
 
-/// A fleet waits once longer for so many nodes, up to the most: about two
-/// seconds between two calls of a node.
-static constexpr int NodesPerFactor = 10;
-static constexpr int MostFactor = 12;
+/// The retry factor rises by one per NodesPerRetryFactor nodes, up to
+/// MaxRetryFactor: then about two seconds between two calls of a node.
+static constexpr int NodesPerRetryFactor = 10;
+static constexpr int MaxRetryFactor = 12;
 
-/// No count of changes.
-static constexpr std::uint64_t NeverChosen = ~0ULL;
+/// Forces a new selection of the source; no count of changes.
+static constexpr std::uint64_t NeverSelected = ~0ULL;
 
 static constexpr EnumNames<SyncRole> RoleNames = {"reader", "relay",
                                                   "follower"};
@@ -70,22 +72,22 @@
       });
   Peers->on<StateSyncResponse>(
       [this](const PeerMessage &From, const StateSyncResponse &Answer) {
-        heard(From.Sender, Answer);
+        receive(From.Sender, Answer);
       });
   Peers->on<ConfigFetch>(
       [this](const PeerMessage &From, const ConfigFetch &Asked) {
-        sendCopy(From.Sender, Asked);
+        sendConfig(From.Sender, Asked);
       });
   Peers->on<ConfigCopy>([this](const PeerMessage &, const ConfigCopy &Copy) {
-    auto Asking = takeQuestion(Fetches, Copy.Nonce);
-    if (!Asking)
-      return; // Asked for earlier: its age would be taken for too small.
-    for (const ConfigFn &Fn : HearConfig)
-      Fn(ConfigHeard{Asking->Boot, Copy});
+    auto Pending = takePending(Fetches, Copy.Nonce);
+    if (!Pending)
+      return; // Response to an earlier request: its age would be too small.
+    for (const ConfigFn &Fn : ConfigSubscribers)
+      Fn(ConfigHeard{Pending->Boot, Copy});
   });
   Services.find<JoinService>(service::Join)
-      .onItems([this](const KvItems &Found) { listed(Found); });
-  Timers->every(AskPeriod, [this] { tick(); });
+      .onItems([this](const KvItems &Found) { applyListed(Found); });
+  Timers->every(RequestPeriod, [this] { tick(); });
   waitSettled();
 }
 
@@ -96,18 +98,19 @@
 }
 
 void StateSyncService::begin() const {
-  for (const auto &Fn : Begin)
+  for (const auto &Fn : BeginSubscribers)
     Fn();
 }
 
-/// This node is about to join. Where few others are listed it need not wait
-/// until it knows them; its own entry may not be written for a while.
-void StateSyncService::listed(const KvItems &Found) {
-  bool First = Entered == 0;
-  Entered = 1 + static_cast<std::size_t>(std::count_if(
-                    Found.Items.begin(), Found.Items.end(), isNodeEntry));
+/// Handles the entries read before this node joins. If few other nodes are
+/// listed, it need not wait until it knows them; writing its own entry may take
+/// a while.
+void StateSyncService::applyListed(const KvItems &Found) {
+  bool First = ListedNodes == 0;
+  ListedNodes = 1 + static_cast<std::size_t>(std::count_if(
+                        Found.Items.begin(), Found.Items.end(), isNodeEntry));
   if (Found.Partial)
-    Entered = std::max(Entered, LeaveReadingFrom);
+    ListedNodes = std::max(ListedNodes, MinDelegatingFleet);
   if (First && !leavesReading())
     begin();
 }
@@ -115,74 +118,77 @@
 void StateSyncService::tick() {
   if (!Members->settled())
     return;
-  if (!Silent.empty() &&
-      std::erase_if(Silent, [Now = Timers->now()](const auto &Item) {
+  if (!Excluded.empty() &&
+      std::erase_if(Excluded, [Now = Timers->now()](const auto &Item) {
         return Item.second <= Now;
       }) > 0)
-    SourceChanges = NeverChosen;
+    SourceChanges = NeverSelected;
   if (++Ticks % 2 == 0 || source().Role == SyncRole::Relay)
     ask();
 }
 
-/// \return The question that is answered, if answers to it are still heard.
-/// Those to earlier questions say less, and are not heard any more.
-std::optional<StateSyncService::Question>
-StateSyncService::takeQuestion(std::deque<Question> &From,
-                               std::uint64_t Nonce) {
+/// Removes a request that has been answered, and all earlier ones: responses to
+/// those are less recent, and are ignored.
+/// \return The request, or nullopt if it is not in flight.
+std::optional<StateSyncService::PendingRequest>
+StateSyncService::takePending(std::deque<PendingRequest> &From,
+                              std::uint64_t Nonce) {
   auto Found =
-      std::find_if(From.begin(), From.end(),
-                   [Nonce](const Question &Q) { return Q.Nonce == Nonce; });
+      std::find_if(From.begin(), From.end(), [Nonce](const PendingRequest &Q) {
+        return Q.Nonce == Nonce;
+      });
   if (Found == From.end())
     return std::nullopt;
-  Question Answered = *Found;
+  PendingRequest Answered = *Found;
   From.erase(From.begin(), std::next(Found));
   return Answered;
 }
 
-void StateSyncService::addQuestion(std::deque<Question> &To,
-                                   std::uint64_t Name) const {
+void StateSyncService::addPending(std::deque<PendingRequest> &To,
+                                  std::uint64_t Name) const {
   To.push_back({Name, EventLoop::bootClock(), Timers->now()});
-  if (To.size() > MostQuestions)
+  if (To.size() > MaxPendingRequests)
     To.pop_front();
 }
 
-/// A node is not asked for a while.
-void StateSyncService::leaveOut(const std::string &Node, std::string_view Why) {
+/// Excludes a node as source for a while.
+void StateSyncService::excludeNode(const std::string &Node,
+                                   std::string_view Why) {
   logRoutine("sync_source_left", {{"node", Node}, {"why", Why}});
-  Silent[Node] = Timers->now() + SilentTime;
-  SourceChanges = NeverChosen;
-  AskedSince = TimePoint{};
+  Excluded[Node] = Timers->now() + ExclusionTime;
+  SourceChanges = NeverSelected;
+  WaitingSince = TimePoint{};
 }
 
-void StateSyncService::heard(const std::string &From,
-                             const StateSyncResponse &Answer) {
+void StateSyncService::receive(const std::string &From,
+                               const StateSyncResponse &Answer) {
   if (From == Asked)
-    AskedSince = TimePoint{};
-  if (auto Asking = takeQuestion(Questions, Answer.Nonce))
-    Answered = *Asking;
+    WaitingSince = TimePoint{};
+  if (auto Pending = takePending(PendingRequests, Answer.Nonce))
+    Answered = *Pending;
   else if (Answer.Nonce != Answered.Nonce)
-    return; // The answer to an earlier question is too old to use.
-  // The next question goes to another node, and not at once: while the service
-  // is away none knows more.
+    return; // The response to an earlier request is too old to use.
+  // The next request goes to another node, and not at once: while the service
+  // is unavailable, no node has newer state.
   if (leavesReading() && Answer.ConfigVersion != 0 &&
-      Answer.ConfigAge > MostSourceAge)
-    leaveOut(From, "stale");
-  PartsUntil = Answer.More ? Timers->now() + PartPatience : TimePoint{};
+      Answer.ConfigAge > MaxSourceAge)
+    excludeNode(From, "stale");
+  PartsUntil = Answer.More ? Timers->now() + NextPartTimeout : TimePoint{};
   Epochs->heardEpoch(Answer.Epoch);
-  for (const StateSyncFn &Fn : Hear)
+  for (const StateSyncFn &Fn : SyncSubscribers)
     Fn(StateSync{Answered.Boot, Answered.At, Answer});
 }
 
-/// The choice looks at all members, so it is made again only when one of them
-/// has changed.
+/// The selection iterates over all members, so it is repeated only after one of
+/// them has changed.
 const SyncSource &StateSyncService::source() const {
   const Membership &M = Members->state();
   if (std::exchange(SourceChanges, M.Changes) == M.Changes)
     return Source;
-  std::set<std::string> Left;
-  for (const auto &[Node, Until] : Silent)
-    Left.insert(Node);
-  SyncSource Next = chooseSyncSource(M, Left);
+  std::set<std::string> ExcludedIds;
+  for (const auto &[Node, Until] : Excluded)
+    ExcludedIds.insert(Node);
+  SyncSource Next = chooseSyncSource(M, ExcludedIds);
   if (Next.Role != Source.Role || Next.Node != Source.Node)
     logRoutine("sync_source", {{"role", syncRoleName(Next.Role)},
                                {"node", Next.Node},
@@ -192,13 +198,14 @@
 }
 
 void StateSyncService::fetchConfig() {
-  addQuestion(Fetches, ++FetchNonce);
+  addPending(Fetches, ++FetchNonce);
   Peers->sendTo(source().Node, ConfigFetch{FetchNonce});
 }
 
-/// A configuration that is too long is not sent: who asks reads it itself.
-void StateSyncService::sendCopy(const std::string &Node,
-                                const ConfigFetch &Asked) {
+/// Sends the configuration in force to a node. A configuration that is too long
+/// is not sent; the requester reads it itself.
+void StateSyncService::sendConfig(const std::string &Node,
+                                  const ConfigFetch &Asked) {
   auto Age = Routes->age();
   if (!Routes->table() || !Age || Routes->text().empty())
     return;
@@ -213,7 +220,7 @@
 }
 
 bool StateSyncService::leavesReading() const {
-  return nodes() >= LeaveReadingFrom;
+  return nodes() >= MinDelegatingFleet;
 }
 
 bool StateSyncService::mayReadMuch() const {
@@ -222,14 +229,14 @@
 
 std::size_t StateSyncService::nodes() const {
   return Members->settled() ? Members->size()
-                            : std::max(Members->size(), Entered);
+                            : std::max(Members->size(), ListedNodes);
 }
 
 int StateSyncService::retryFactor() const {
   if (reads())
     return 1;
   auto Nodes = static_cast<int>(Members->size());
-  return std::clamp(Nodes / NodesPerFactor, 1, MostFactor);
+  return std::clamp(Nodes / NodesPerRetryFactor, 1, MaxRetryFactor);
 }
 
 void StateSyncService::ask() {
@@ -239,19 +246,19 @@
     return;
   TimePoint Now = Timers->now();
   bool Compares = Upstreams->behind() || !Upstreams->registry().Known;
-  Duration Patience = Compares ? ComparePatience : AnswerPatience;
-  bool Waits = AskedSince > TimePoint{} && Now - AskedSince <= Patience;
-  // The answer to a comparison may be long, and is on its way.
-  if (Asked == Source.Node && (Now < PartsUntil || (Compares && Waits)))
+  Duration Timeout = Compares ? CompareTimeout : ResponseTimeout;
+  bool IsWaiting = WaitingSince > TimePoint{} && Now - WaitingSince <= Timeout;
+  // The response to a comparison may be long, and may still be in flight.
+  if (Asked == Source.Node && (Now < PartsUntil || (Compares && IsWaiting)))
     return;
   if (std::exchange(Asked, Source.Node) != Source.Node ||
-      AskedSince == TimePoint{})
-    AskedSince = Now;
-  if (Now - AskedSince > Patience) {
-    leaveOut(Asked, "silent");
+      WaitingSince == TimePoint{})
+    WaitingSince = Now;
+  if (Now - WaitingSince > Timeout) {
+    excludeNode(Asked, "silent");
     return ask();
   }
-  addQuestion(Questions, ++Nonce);
+  addPending(PendingRequests, ++Nonce);
   const UpstreamRegistry &Registry = Upstreams->registry();
   StateSyncRequest Ask{Nonce, Registry.Digest, std::nullopt};
   if (Compares)
@@ -259,13 +266,13 @@
   Peers->sendTo(Asked, std::move(Ask));
 }
 
-/// Answers in parts that a link bears at once. If each part were asked for, the
-/// list would have changed before the last one, and while many upstreams come
-/// and go no comparison would ever end.
+/// Sends a response in parts that are small enough for the link. If each part
+/// were requested separately, the list would change before the last one, and no
+/// comparison would complete while many upstreams come and go.
 void StateSyncService::answer(const std::string &Node, StateSyncRequest Asked) {
   const UpstreamRegistry &Registry = Upstreams->registry();
   for (std::size_t Part = 0; Part < RegistryBuckets; ++Part) {
-    StateSyncResponse Answer = ownAnswer(Asked);
+    StateSyncResponse Answer = makeResponse(Asked);
     const auto &Change = Answer.ListChange;
     Answer.More = Change && Change->To != Answer.ListDigest && Asked.Buckets;
     if (Answer.More) {
@@ -281,7 +288,7 @@
 }
 
 StateSyncResponse
-StateSyncService::ownAnswer(const StateSyncRequest &Asked) const {
+StateSyncService::makeResponse(const StateSyncRequest &Asked) const {
   constexpr Duration Never = std::chrono::hours(1);
   StateSyncResponse Out;
   Out.Nonce = Asked.Nonce;
--- a/src/state_sync_service.h
+++ b/src/state_sync_service.h
@@ -1,4 +1,5 @@
-/// \file state_sync_service.h Asks another node whether anything has changed.
+/// \file state_sync_service.h Follows the key-value service through other
+/// nodes.
 #ifndef FULMARSTEP_STATE_SYNC_SERVICE_H
 #define FULMARSTEP_STATE_SYNC_SERVICE_H
 
@@ -20,113 +21,118 @@
 class RouteFeed;
 class UpstreamFeed;
 
-/// An answer, with when it was asked for.
+/// A response, with the time of its request.
 struct StateSync {
-  Duration AskedBoot{};     ///< Boot-time clock, when the question was sent.
-  TimePoint AskedAt{};      ///< The same on the monotonic clock.
-  StateSyncResponse Answer; ///< What the reader knows. Its ages count from when
-                            ///< it answered, which is later: taken from the
-                            ///< question on, they are never too small.
+  Duration AskedBoot{};     ///< When the request was sent, boot-time clock.
+  TimePoint AskedAt{};      ///< The same time on the monotonic clock.
+  StateSyncResponse Answer; ///< State of the reader. Its ages refer to the time
+                            ///< of the response, which is later: counted from
+                            ///< the request, they are never too small.
 };
 
-/// A copy of the configuration, with when it was asked for.
+/// A copy of the configuration, with the time of its request.
 struct ConfigHeard {
-  Duration AskedBoot{}; ///< Boot-time clock, when the question was sent.
-  ConfigCopy Copy;      ///< What the reader has in force.
+  Duration AskedBoot{}; ///< When the request was sent, boot-time clock.
+  ConfigCopy Copy;      ///< Configuration in force at the reader.
 };
 
-/// Lets most nodes follow the key-value service through one that reads it.
+/// Lets most nodes follow the key-value service through a node that reads it.
 class StateSyncService : public Service {
 public:
   using StateSyncFn = std::function<void(const StateSync &)>;
   using ConfigFn = std::function<void(const ConfigHeard &)>;
 
-  /// \param Seed differs at each start. Nonces are counted from it on: an
-  /// answer to a question of this host's earlier process would else pass for
-  /// one to a later question, and what it says would be taken for more recent
-  /// than it is.
+  /// \param Seed differs at each start. Nonces are derived from it: otherwise a
+  /// response to a request of an earlier process on this host could match a
+  /// later request, and its state would be considered more recent than it is.
   StateSyncService(Kernel &K, std::uint64_t Seed)
       : Services(K), Nonce(Random(Seed)()), FetchNonce(Nonce) {}
 
   void start() override;
 
-  /// Calls \p Fn with each answer.
-  void onSync(StateSyncFn Fn) { Hear.push_back(std::move(Fn)); }
-  /// Calls \p Fn with each copy of the configuration that was asked for.
-  void onConfig(ConfigFn Fn) { HearConfig.push_back(std::move(Fn)); }
-  /// Asks the node that reads for this one what has changed, if there is one.
+  /// Calls \p Fn with each response.
+  void onSync(StateSyncFn Fn) { SyncSubscribers.push_back(std::move(Fn)); }
+  /// Calls \p Fn with each requested copy of the configuration.
+  void onConfig(ConfigFn Fn) { ConfigSubscribers.push_back(std::move(Fn)); }
+  /// Queries the source of this node for changes, unless this node reads
+  /// itself.
   void ask();
-  /// Asks the node that reads for this one for its configuration.
+  /// Requests the configuration from the source of this node.
   void fetchConfig();
-  /// Calls \p Fn when this node may begin to read or to ask: once it is known
-  /// that the fleet is small, and once it has had time to hear of the others.
-  void onBegin(std::function<void()> Fn) { Begin.push_back(std::move(Fn)); }
-  /// \return Whether this node has had time to hear of the others.
+  /// Calls \p Fn when this node may begin to read or query: when it learns that
+  /// the fleet is small, and again when membership has settled.
+  void onBegin(std::function<void()> Fn) {
+    BeginSubscribers.push_back(std::move(Fn));
+  }
+  /// \return Whether this node has had time to learn of the others.
   bool settled() const;
-  /// \return Whether this node reads for itself.
+  /// \return Whether this node reads the key-value service itself.
   bool reads() const;
-  /// \return Whether the fleet is so large that its nodes leave lists and
-  /// configurations to those that read, and wait for them.
+  /// \return Whether the fleet is so large that nodes wait for lists and
+  /// configurations from the readers instead of reading them.
   bool leavesReading() const;
-  /// \return Whether this node may read what takes many calls.
+  /// \return Whether this node may start reads that take many calls.
   bool mayReadMuch() const;
-  /// \return Live nodes, or those that were listed when this one joined.
+  /// \return Number of live nodes; until membership has settled, at least the
+  /// number of nodes that were listed when this one joined.
   std::size_t nodes() const;
-  /// \return How many times longer than alone this node waits before it repeats
-  /// a failed call. Who has a reader hears from it when the service is back;
-  /// all nodes of a large fleet that keep trying would be an outage of their
-  /// own.
+  /// \return Factor of this node's pause before it retries a failed call,
+  /// compared with a single node. A node with a reader learns from it when the
+  /// service is available again; retries by all nodes of a large fleet would
+  /// themselves cause an outage.
   int retryFactor() const;
 
 private:
-  /// A question that was sent.
-  struct Question {
-    std::uint64_t Nonce = 0; ///< Its name.
+  /// A request that was sent.
+  struct PendingRequest {
+    std::uint64_t Nonce = 0; ///< Nonce of the request.
     Duration Boot{};         ///< When it was sent, boot-time clock.
-    TimePoint At{};          ///< The same on the monotonic clock.
+    TimePoint At{};          ///< The same time on the monotonic clock.
   };
 
-  static std::optional<Question> takeQuestion(std::deque<Question> &From,
-                                              std::uint64_t Nonce);
-  void addQuestion(std::deque<Question> &To, std::uint64_t Name) const;
+  static std::optional<PendingRequest>
+  takePending(std::deque<PendingRequest> &From, std::uint64_t Nonce);
+  void addPending(std::deque<PendingRequest> &To, std::uint64_t Name) const;
   const SyncSource &source() const;
   void waitSettled();
-  void listed(const KvItems &Found);
-  void leaveOut(const std::string &Node, std::string_view Why);
+  void applyListed(const KvItems &Found);
+  void excludeNode(const std::string &Node, std::string_view Why);
   void begin() const;
   void tick();
-  void heard(const std::string &From, const StateSyncResponse &Answer);
-  void sendCopy(const std::string &Node, const ConfigFetch &Asked);
+  void receive(const std::string &From, const StateSyncResponse &Answer);
+  void sendConfig(const std::string &Node, const ConfigFetch &Asked);
   void answer(const std::string &Node, StateSyncRequest Asked);
-  StateSyncResponse ownAnswer(const StateSyncRequest &Asked) const;
+  StateSyncResponse makeResponse(const StateSyncRequest &Asked) const;
 
-  Kernel &Services;                  ///< Finds the others.
-  TimerService *Timers = nullptr;    ///< Time.
-  MemberService *Members = nullptr;  ///< Knows the readers.
-  PeerService *Peers = nullptr;      ///< Carries messages.
-  RouteFeed *Routes = nullptr;       ///< What this node knows.
-  UpstreamFeed *Upstreams = nullptr; ///< What this node knows.
-  KvEpochs *Epochs = nullptr;        ///< Of the key-value service.
-  std::uint64_t Nonce;               ///< Of the latest question.
-  std::deque<Question> Questions;    ///< Answers to which are heard.
-  Question Answered;                 ///< The latest one; more parts of its
-                                     ///< answer may follow.
-  TimePoint PartsUntil{};            ///< They are waited for until then.
-  std::uint64_t FetchNonce;          ///< Of the latest wish for a copy.
-  std::deque<Question> Fetches;      ///< Wishes that may still be answered.
-  std::vector<StateSyncFn> Hear;     ///< Subscribers.
-  std::vector<std::function<void()>> Begin;    ///< Called twice at most.
-  std::size_t Entered = 0;                     ///< Nodes that were listed when
-                                               ///< this one joined.
-  std::map<std::string, TimePoint> Silent;     ///< Not asked until then.
-  std::string Asked;                           ///< Whom the latest question
-                                               ///< went to.
-  TimePoint AskedSince{};                      ///< Without an answer; zero:
-                                               ///< none is waited for.
-  std::uint64_t Ticks = 0;                     ///< Counts periods.
-  mutable SyncSource Source;                   ///< As it was chosen
-  mutable std::uint64_t SourceChanges = ~0ULL; ///< at these changes.
-  std::vector<ConfigFn> HearConfig;            ///< Subscribers.
+  Kernel &Services;                  ///< Looks up other services.
+  TimerService *Timers = nullptr;    ///< Clock and timers.
+  MemberService *Members = nullptr;  ///< Provides the members.
+  PeerService *Peers = nullptr;      ///< Sends and receives messages.
+  RouteFeed *Routes = nullptr;       ///< Configuration of this node.
+  UpstreamFeed *Upstreams = nullptr; ///< Upstream list of this node.
+  KvEpochs *Epochs = nullptr;        ///< Epoch of the key-value service.
+  std::uint64_t Nonce;               ///< Nonce of the latest request.
+  std::deque<PendingRequest> PendingRequests; ///< Requests in flight.
+  PendingRequest Answered;            ///< Latest answered request; more parts
+                                      ///< of its response may follow.
+  TimePoint PartsUntil{};             ///< Timeout of the next part.
+  std::uint64_t FetchNonce;           ///< Nonce of the latest config request.
+  std::deque<PendingRequest> Fetches; ///< Config requests in flight.
+  std::vector<StateSyncFn> SyncSubscribers; ///< Called with each response.
+  std::vector<std::function<void()>>
+      BeginSubscribers;        ///< Called at most twice.
+  std::size_t ListedNodes = 0; ///< Nodes that were listed when
+                               ///< this one joined.
+  std::map<std::string, TimePoint>
+      Excluded;              ///< Excluded nodes, and until when.
+  std::string Asked;         ///< Receiver of the latest request.
+  TimePoint WaitingSince{};  ///< Without a response since; zero:
+                             ///< no request is in flight.
+  std::uint64_t Ticks = 0;   ///< Number of request periods so far.
+  mutable SyncSource Source; ///< Cached source.
+  mutable std::uint64_t SourceChanges = ~0ULL; ///< Membership::Changes at its
+                                               ///< last update.
+  std::vector<ConfigFn> ConfigSubscribers;     ///< Called with each copy.
 };
 
 } // namespace fulmar
--- a/src/state_sync_type.h
+++ b/src/state_sync_type.h
@@ -1,5 +1,5 @@
-/// \file state_sync_type.h What one node can tell another of the key-value
-/// service.
+/// \file state_sync_type.h Messages by which nodes synchronise the state of the
+/// key-value service.
 #ifndef FULMARSTEP_STATE_SYNC_TYPE_H
 #define FULMARSTEP_STATE_SYNC_TYPE_H
 
@@ -11,38 +11,38 @@
 
 namespace fulmar {
 
-/// Ask a node what it knows.
+/// Queries the state that a node knows.
 struct StateSyncRequest {
-  std::uint64_t Nonce = 0;                  ///< Comes back in the answer.
-  std::uint64_t ListDigest = EmptyRegistry; ///< Of the list that the asker has.
+  std::uint64_t Nonce = 0;                  ///< Returned in the response.
+  std::uint64_t ListDigest = EmptyRegistry; ///< Digest of the requester's list.
   std::optional<BucketDigests> Buckets; ///< Of its parts, where no change that
-                                        ///< was told begins at it.
+                                        ///< was sent begins at that digest.
 };
 
-/// What it knows.
+/// The state that a node knows.
 struct StateSyncResponse {
-  std::uint64_t Nonce = 0;         ///< As in the question.
-  std::uint64_t ConfigVersion = 0; ///< In force there; 0: none.
-  Duration ConfigAge{};            ///< Since it was sure to be the newest.
-  std::uint64_t ListDigest = 0;    ///< Of the listed upstreams.
-  Duration ListAge{};              ///< Since they were read.
-  std::optional<RegistryChange> ListChange; ///< What the asker's list lacks.
-  DrainedDomains Drained;                   ///< As known there.
-  std::uint64_t Epoch = 0; ///< Of the key-value service, as known there.
-  bool More = false;       ///< Another part of the change follows.
+  std::uint64_t Nonce = 0;         ///< As in the request.
+  std::uint64_t ConfigVersion = 0; ///< Configuration in force; 0: none.
+  Duration ConfigAge{};         ///< Time since it was known to be the newest.
+  std::uint64_t ListDigest = 0; ///< Digest of the listed upstreams.
+  Duration ListAge{};           ///< Time since they were read.
+  std::optional<RegistryChange> ListChange; ///< Change to the requester's list.
+  DrainedDomains Drained;                   ///< Drained domains.
+  std::uint64_t Epoch = 0;                  ///< Epoch of the key-value service.
+  bool More = false; ///< Whether another part of the change follows.
 };
 
-/// Ask a node for the configuration that it has in force.
+/// Requests the configuration in force at a node.
 struct ConfigFetch {
-  std::uint64_t Nonce = 0; ///< Comes back in the answer.
+  std::uint64_t Nonce = 0; ///< Returned in the response.
 };
 
 /// The configuration in force at a node.
 struct ConfigCopy {
-  std::uint64_t Nonce = 0;   ///< As in the question.
-  std::uint64_t Version = 0; ///< Of the configuration.
-  Duration Age{};            ///< Since it was sure to be the newest.
-  std::string Text;          ///< As it stands in the key-value service.
+  std::uint64_t Nonce = 0;   ///< As in the request.
+  std::uint64_t Version = 0; ///< Version of the configuration.
+  Duration Age{};            ///< Time since it was known to be the newest.
+  std::string Text;          ///< Text as stored in the key-value service.
 };
 
 } // namespace fulmar
