--- a/tests/test_restore.cpp
+++ b/tests/test_restore.cpp
@@ -1,4 +1,4 @@
-/// \file test_restore.cpp The key-value service comes back from an older copy.
+/// \file test_restore.cpp Restore of the key-value service from an older copy.
 #include <catch2/catch.hpp>
 
 #include "gateway_world.h"
@@ -17,7 +17,8 @@
 
 namespace {
 
-/// Nodes before a key-value service that goes back to a copy of its state.
+/// Nodes with a key-value service that can be restored from a copy of its
+/// state.
 struct RestoreWorld : GatewayWorld {
   explicit RestoreWorld(int NodeCount) {
     addRunner("plain", {"p-0"});
@@ -35,7 +36,7 @@
         Loop, [&] { return Timers.now() >= End; }, Time + seconds(1));
   }
 
-  /// The service is away for a moment and comes back from the copy.
+  /// Makes the service unavailable for 200 ms and restores it from the copy.
   void restore() {
     Store.Mode = StoreMode::Refusing;
     pass(milliseconds(200));
@@ -43,61 +44,67 @@
     Store.Mode = StoreMode::Serving;
   }
 
-  template <typename T> T &part(std::size_t Node, std::string_view Name) const {
+  template <typename T>
+  T &findService(std::size_t Node, std::string_view Name) const {
     return Nodes[Node]->services().find<T>(Name);
   }
 
-  bool knows(std::size_t Node, const std::set<std::string> &Drained) {
+  bool knowsDrained(std::size_t Node, const std::set<std::string> &Drained) {
     return runUntil(
         Loop,
         [&] {
-          return part<RouteFeed>(Node, service::Routes).drained().Names ==
-                 Drained;
+          return findService<RouteFeed>(Node, service::Routes)
+                     .drained()
+                     .Names == Drained;
         },
         seconds(4));
   }
 
-  /// \return Whether \p Node knows \p Count nodes soon.
-  bool meets(std::size_t Node, std::size_t Count) {
+  /// \return Whether \p Node knows \p Count nodes within six seconds.
+  bool knowsNodes(std::size_t Node, std::size_t Count) {
     return runUntil(
         Loop,
         [&] {
-          return part<MemberService>(Node, service::Members).ids().size() ==
-                 Count;
+          return findService<MemberService>(Node, service::Members)
+                     .ids()
+                     .size() == Count;
         },
         seconds(6));
   }
 
   const std::map<std::string, UpstreamEntry> &listAt(std::size_t Node) const {
-    return part<UpstreamFeed>(Node, service::Upstreams).registry().Entries;
+    return findService<UpstreamFeed>(Node, service::Upstreams)
+        .registry()
+        .Entries;
   }
 };
 
 } // namespace
 
-SCENARIO("an operator drains a domain after the key-value service went back") {
-  // Guards against an order that is taken for an old one, because revisions
-  // are given out again from lower numbers on.
+SCENARIO(
+    "an operator drains a domain after a restore of the key-value service") {
+  // Guards against an order that is considered stale, because the service
+  // assigns revisions from a lower number again.
   RestoreWorld W(2);
   W.Store.keepCopy();
   for (int I = 0; I < 40; ++I)
     W.Store.put("op/other", std::to_string(I));
   W.Store.put("op/evacuate/z1", "{}");
-  REQUIRE(W.knows(0, {"z1"}));
-  REQUIRE(W.knows(1, {"z1"}));
+  REQUIRE(W.knowsDrained(0, {"z1"}));
+  REQUIRE(W.knowsDrained(1, {"z1"}));
   W.restore();
-  THEN("the domain is taken back with the copy, and drained again by order") {
-    CHECK(W.knows(0, {}));
-    CHECK(W.knows(1, {}));
+  THEN("the restore ends the drain, and a new order drains the domain again") {
+    CHECK(W.knowsDrained(0, {}));
+    CHECK(W.knowsDrained(1, {}));
     W.Store.put("op/evacuate/z1", "{}");
-    CHECK(W.knows(0, {"z1"}));
-    CHECK(W.knows(1, {"z1"}));
+    CHECK(W.knowsDrained(0, {"z1"}));
+    CHECK(W.knowsDrained(1, {"z1"}));
   }
 }
 
-SCENARIO("revisions that a watch has passed are given out again") {
-  // Guards against a change that no watch tells, because its revision was
-  // known from before the service went back.
+SCENARIO("revisions that a watch has passed are assigned again") {
+  // Guards against a change that no watch reports, because its revision was
+  // already known before the restore.
   RestoreWorld W(1);
   W.Store.keepCopy();
   W.Store.put("op/other", "1");
@@ -111,25 +118,26 @@
   CHECK(runUntil(
       W.Loop,
       [&] {
-        return W.part<RouteFeed>(0, service::Routes).table()->Version ==
+        return W.findService<RouteFeed>(0, service::Routes).table()->Version ==
                Version;
       },
       seconds(3)));
 }
 
-SCENARIO("the configuration of a copy is an older one") {
-  // Guards against a configuration that goes back, and against a node that is
-  // sure of an older one before the operator has written the newer one again.
+SCENARIO("the restored configuration is an older one") {
+  // Guards against a configuration that is reverted, and against a node that
+  // considers an older one current before the operator has written the newer
+  // one again.
   RestoreWorld W(1);
   W.Store.keepCopy();
   W.Keys = "\"key-b\"";
   W.configure();
   REQUIRE(runUntil(W.Loop, [&] {
-    return W.part<RouteFeed>(0, service::Routes).table()->Version == 2;
+    return W.findService<RouteFeed>(0, service::Routes).table()->Version == 2;
   }));
   W.restore();
   W.pass(milliseconds(1400));
-  auto &Routes = W.part<RouteFeed>(0, service::Routes);
+  auto &Routes = W.findService<RouteFeed>(0, service::Routes);
   CHECK(Routes.table()->Version == 2);
   CHECK(*Routes.age() > milliseconds(1200));
   CHECK(Routes.keysFresh());
@@ -138,9 +146,9 @@
   CHECK(*Routes.age() < seconds(1));
 }
 
-SCENARIO("nodes' entries are lost") {
-  // Guards against nodes that start after the return and find no other one,
-  // because entries are only renewed every few seconds.
+SCENARIO("a restore loses the entries of nodes") {
+  // Guards against nodes that start after the restore and find no other node,
+  // because entries are renewed only every few seconds.
   RestoreWorld W(2);
   for (const char *Node : {"n0", "n1"})
     W.Store.erase("fulmarstep/running/" + std::string(Node));
@@ -154,12 +162,12 @@
       },
       seconds(2)));
   W.addNode();
-  CHECK(W.meets(2, 3));
+  CHECK(W.knowsNodes(2, 3));
 }
 
-SCENARIO("the secret that nodes share is lost") {
-  // Guards against two fleets that do not hear each other: nodes with the old
-  // secret, and nodes that start after the return and create another one.
+SCENARIO("a restore loses the shared secret of the nodes") {
+  // Guards against two fleets that cannot communicate: nodes with the old
+  // secret, and nodes that start after the restore and create another one.
   RestoreWorld W(2);
   W.Store.erase("fulmarstep/peer-key");
   W.Store.erase("fulmarstep/running/n0");
@@ -170,12 +178,12 @@
   REQUIRE(runUntil(
       W.Loop, [&] { return W.Nodes[2]->gateway().ready(); }, seconds(4)));
   for (std::size_t I = 0; I < 3; ++I)
-    CHECK(W.meets(I, 3));
+    CHECK(W.knowsNodes(I, 3));
 }
 
-SCENARIO("a node starts again after the return") {
-  // Guards against a process that no other node hears, because its incarnation
-  // is below that of its earlier process.
+SCENARIO("a node restarts after a restore") {
+  // Guards against a process whose messages all nodes ignore, because its
+  // incarnation is lower than that of the node's earlier process.
   RestoreWorld W(1);
   W.Store.keepCopy();
   for (int I = 0; I < 100; ++I)
@@ -188,7 +196,7 @@
     auto Killed = W.makeNode(Loop, Time);
     REQUIRE(runUntil(W.Loop, [&] {
       Loop.runOnce();
-      return Killed->gateway().ready() && W.meets(0, 2);
+      return Killed->gateway().ready() && W.knowsNodes(0, 2);
     }));
     Earlier = Killed->services()
                   .find<MemberService>(service::Members)
@@ -202,14 +210,14 @@
             .find<MemberService>(service::Members)
             .state()
             .Self.Incarnation > Earlier);
-  CHECK(W.meets(0, 2));
-  CHECK(W.meets(1, 2));
+  CHECK(W.knowsNodes(0, 2));
+  CHECK(W.knowsNodes(1, 2));
 }
 
-SCENARIO("the list of upstreams is an older one") {
+SCENARIO("the restored list of upstreams is an older one") {
   RestoreWorld W(1);
   GIVEN("an upstream that the copy does not have") {
-    // Guards against live upstreams that are taken for gone until they have
+    // Guards against live upstreams that are considered gone until they have
     // written their entries again.
     W.Store.keepCopy();
     W.addRunner("plain", {"p-2"});
@@ -218,14 +226,13 @@
     W.restore();
     W.pass(milliseconds(1300));
     CHECK(W.listAt(0).count("p-2") == 1);
-    THEN("one that has not written it again is gone") {
+    THEN("it is removed if it does not write its entry again") {
       W.pass(milliseconds(2500));
       CHECK(W.listAt(0).count("p-2") == 0);
     }
   }
   GIVEN("upstreams that left, or began to leave, after the copy") {
-    // Guards against upstreams that get new work although this node knew that
-    // they leave.
+    // Guards against requests to upstreams that this node knew to be leaving.
     W.Store.keepCopy();
     W.list("plain", "p-0", "draining");
     W.Store.erase("servers/p-1");
@@ -242,9 +249,9 @@
   }
 }
 
-SCENARIO("records of quarantines are lost") {
-  // Guards against a request that crashes upstreams anew when all nodes start
-  // again after the return.
+SCENARIO("a restore loses the records of quarantines") {
+  // Guards against a request that crashes upstreams again when all nodes
+  // restart after a restore.
   RestoreWorld W(1);
   for (auto &[Instance, Runner] : W.Runners)
     Runner->CrashesOn = "deadly";
@@ -254,9 +261,9 @@
     W.ask("/get/x");
     W.pass(milliseconds(300));
   }
-  auto &Held = W.part<QuarantineService>(0, service::Quarantine);
-  REQUIRE(Held.size() == 1);
-  auto Saved = [&] { return Held.saved(); };
+  auto &Quarantined = W.findService<QuarantineService>(0, service::Quarantine);
+  REQUIRE(Quarantined.size() == 1);
+  auto Saved = [&] { return Quarantined.saved(); };
   REQUIRE(runUntil(W.Loop, Saved));
   W.restore();
   W.pass(milliseconds(700));
@@ -267,9 +274,9 @@
   CHECK_FALSE(W.Store.value(Key).empty());
 }
 
-SCENARIO("answers of another epoch") {
-  // Guards against an answer from before the return that comes late and undoes
-  // what is known since.
+SCENARIO("responses of another epoch") {
+  // Guards against a delayed response from before the restore that overwrites
+  // newer state.
   TimerService Timers;
   EventLoop Loop(Timers);
   platform::StandinStore Service(Loop, Timers, "127.0.0.1", 0);
@@ -286,15 +293,15 @@
   KvItems First = Read();
   CHECK(First.Status == KvStatus::Ok);
   CHECK(Store.epoch() == 2);
-  std::vector<std::uint64_t> Heard;
-  Store.onEpoch([&](std::uint64_t Epoch) { Heard.push_back(Epoch); });
-  WHEN("the service goes back") {
+  std::vector<std::uint64_t> EpochsSeen;
+  Store.onEpoch([&](std::uint64_t Epoch) { EpochsSeen.push_back(Epoch); });
+  WHEN("the service is restored from an older copy") {
     Service.keepCopy();
     Service.restoreCopy();
     KvItems Second = Read();
     CHECK(Second.Revision > First.Revision);
-    CHECK(Heard == std::vector<std::uint64_t>{3});
-    THEN("a revision from before is no place to go on from") {
+    CHECK(EpochsSeen == std::vector<std::uint64_t>{3});
+    THEN("a watch or a write cannot continue from an earlier revision") {
       std::optional<KvItems> Got;
       Store.follow("op/", First.Revision, milliseconds(50),
                    [&](const KvItems &Found) { Got = Found; });
@@ -306,16 +313,16 @@
       CHECK(Swapped == KvStatus::Conflict);
     }
   }
-  WHEN("an answer of an earlier epoch, or of none, comes") {
+  WHEN("a response of an earlier epoch, or without an epoch, arrives") {
     Service.Epoch = GENERATE(0, 1);
     CHECK(Read().Status == KvStatus::Unavailable);
     CHECK(Store.epoch() == 2);
-    CHECK(Heard.empty());
+    CHECK(EpochsSeen.empty());
   }
-  WHEN("another node tells of a later one") {
+  WHEN("another node reports a later epoch") {
     Store.heardEpoch(5);
     Store.heardEpoch(4);
-    CHECK(Heard == std::vector<std::uint64_t>{5});
+    CHECK(EpochsSeen == std::vector<std::uint64_t>{5});
     CHECK(Read().Status == KvStatus::Unavailable);
   }
 }
