--- a/src/caller_time.h
+++ b/src/caller_time.h
@@ -1,4 +1,5 @@
-/// \file caller_time.h How much of its time a caller has used before.
+/// \file caller_time.h Estimates the time that a caller has used in earlier
+/// tries.
 #ifndef FULMARSTEP_CALLER_TIME_H
 #define FULMARSTEP_CALLER_TIME_H
 
@@ -9,80 +10,79 @@
 
 namespace fulmar {
 
-/// Latest requests of a route that are looked at: some seconds of a busy one.
+/// Latest requests of a route that are sampled: some seconds of a busy one.
 inline constexpr std::size_t TimeSamples = 128;
-/// With fewer, nothing is said: the middle of a handful is a matter of luck.
-inline constexpr std::size_t LeastTimeSamples = 16;
-/// Weight of the newest request in the shares of those that came back and of
-/// those that were refused: some fifty requests count.
-inline constexpr double ShareGain = 0.02;
-/// As many requests come back as were refused. With this many times more, or
-/// this much more of all, callers differ for another reason.
-inline constexpr double MostComeBack = 1.5;
-inline constexpr double ComeBackSlack = 0.05;
-/// Requests between two looks at the samples; sorting them for each would cost
-/// as much as the choice of an upstream.
+/// With fewer samples there is no estimate: their median is mostly chance.
+inline constexpr std::size_t MinTimeSamples = 16;
+/// Weight of the newest request in the smoothed shares of returned and of
+/// refused requests: some fifty requests count.
+inline constexpr double ShareWeight = 0.02;
+/// Returned requests are about as many as refused ones. Above this ratio, or by
+/// this share of all requests more, callers differ for another reason.
+inline constexpr double MaxReturnRatio = 1.5;
+inline constexpr double ReturnSlack = 0.05;
+/// Requests between updates of the estimate; sorting the samples for each
+/// request would cost as much as choosing an upstream.
 inline constexpr std::size_t SortEvery = 8;
 
-/// What callers of one route said of the time that they have left.
+/// Remaining times that callers of one route announced.
 ///
-/// A request that comes back after a refusal bears another id, and comes to
-/// another node; all that tells it from a new one is that its caller waits for
-/// less time. Taken for new, it is served before requests that really are:
-/// these are then late in their turn, are refused and come back, and a burst
-/// that a pool could nearly bear makes twice as many requests late. One sees it
-/// in callers that count far more late answers than the nodes do.
+/// A request that is retried after a refusal has another id and reaches another
+/// node; it differs from a new one only in that its caller has less time left.
+/// Treated as new, it is served before requests that really are: these are then
+/// late when their turn comes, are refused and retried, and a burst that a pool
+/// could nearly handle makes twice as many requests late. The symptom is that
+/// callers count far more late answers than the nodes do.
 ///
-/// Callers of two programs may wait for different times. Their requests would
-/// all be taken for returning ones; nothing is said while more seem to come
-/// back than are refused.
+/// Callers of two programs may use different timeouts. Their requests would all
+/// be taken for retries; there is no estimate while more requests seem to be
+/// retries than were refused.
 struct CallerTime {
-  std::vector<Duration> Left; ///< Latest ones, the oldest overwritten.
-  std::size_t Next = 0;       ///< Where the next one goes.
-  std::size_t Until = 0;      ///< Samples until they are looked at again.
-  Duration Least{};           ///< The least that a new request says; zero: not
-                              ///< known.
-  double CameBack = 0;        ///< Share of requests that seem to have.
-  double Refused = 0;         ///< Share of requests that were refused.
+  std::vector<Duration> Samples; ///< Ring buffer of the latest announced times.
+  std::size_t Next = 0;        ///< Index of the next sample, before the modulo.
+  std::size_t UntilUpdate = 0; ///< Requests until MinFresh is updated.
+  Duration MinFresh{};      ///< Least time of a new request; zero: not known.
+  double ReturnedShare = 0; ///< Smoothed share of apparent retries.
+  double RefusedShare = 0;  ///< Smoothed share of refused requests.
 };
 
-/// \return The least time that new requests say they have. Callers differ a
-/// little, evenly about the middle; those that have come back lie below, and
-/// are fewer than half.
-inline Duration leastCallerTime(std::vector<Duration> Left) {
-  auto Middle = Left.begin() + static_cast<std::ptrdiff_t>(Left.size() / 2);
-  std::nth_element(Left.begin(), Middle, Left.end());
-  Duration Most = *std::max_element(Middle, Left.end());
+/// \return The least time that new requests announce. Callers differ a little,
+/// symmetrically about the median; retries lie below, and are fewer than half.
+inline Duration minFreshTime(std::vector<Duration> Samples) {
+  auto Middle =
+      Samples.begin() + static_cast<std::ptrdiff_t>(Samples.size() / 2);
+  std::nth_element(Samples.begin(), Middle, Samples.end());
+  Duration Most = *std::max_element(Middle, Samples.end());
   return std::max(Duration::zero(), *Middle - (Most - *Middle));
 }
 
 /// Smooths a share; \p Newest is 0 or 1.
 inline void smoothShare(double &Share, double Newest) {
-  Share += (Newest - Share) * ShareGain;
+  Share += (Newest - Share) * ShareWeight;
 }
 
-/// Takes in what one more request says.
+/// Adds a sample.
 inline void callerTimeLearn(CallerTime &P, Duration Left) {
-  smoothShare(P.CameBack, Left < P.Least ? 1 : 0);
-  smoothShare(P.Refused, 0);
-  if (P.Left.size() < TimeSamples)
-    P.Left.push_back(Left);
+  smoothShare(P.ReturnedShare, Left < P.MinFresh ? 1 : 0);
+  smoothShare(P.RefusedShare, 0);
+  if (P.Samples.size() < TimeSamples)
+    P.Samples.push_back(Left);
   else
-    P.Left[P.Next++ % TimeSamples] = Left;
-  if (P.Left.size() < LeastTimeSamples || P.Until-- > 0)
+    P.Samples[P.Next++ % TimeSamples] = Left;
+  if (P.Samples.size() < MinTimeSamples || P.UntilUpdate-- > 0)
     return;
-  P.Until = SortEvery - 1;
-  P.Least = leastCallerTime(P.Left);
+  P.UntilUpdate = SortEvery - 1;
+  P.MinFresh = minFreshTime(P.Samples);
 }
 
-/// A request was refused; it may come back.
-inline void callerTimeRefused(CallerTime &P) { P.Refused += ShareGain; }
+/// Counts a refused request, which may be retried.
+inline void callerTimeRefused(CallerTime &P) { P.RefusedShare += ShareWeight; }
 
-/// \return Time that a caller has certainly used before it sent this request.
+/// \return Least time that a caller has used before it sent this request.
 inline Duration callerTimeUsed(const CallerTime &P, Duration Left) {
-  if (P.CameBack > P.Refused * MostComeBack + ComeBackSlack)
+  if (P.ReturnedShare > P.RefusedShare * MaxReturnRatio + ReturnSlack)
     return Duration::zero();
-  return std::max(Duration::zero(), P.Least - Left);
+  return std::max(Duration::zero(), P.MinFresh - Left);
 }
 
 } // namespace fulmar
--- a/src/limit_queue.h
+++ b/src/limit_queue.h
@@ -1,5 +1,5 @@
-/// \file limit_queue.h How many requests to take in for a pool all of whose
-/// upstreams name a limit.
+/// \file limit_queue.h Admission to a pool all of whose upstreams name a rate
+/// limit.
 #ifndef FULMARSTEP_LIMIT_QUEUE_H
 #define FULMARSTEP_LIMIT_QUEUE_H
 
@@ -10,22 +10,22 @@
 
 namespace fulmar {
 
-/// Requests that were taken in and go to such a pool one after the other.
+/// Virtual queue of the requests that were admitted to such a pool.
 struct LimitQueue {
-  TimePoint Free{}; ///< When the next one could go.
+  TimePoint NextSlot{}; ///< When the next request can be sent.
 };
 
-/// Takes one request in, where \p PerSecond can be passed on by this node and
-/// it has \p Spare time to wait for that.
-/// \return Nothing when it is taken in; otherwise when it should come back.
+/// Admits one request, where this node may send \p PerSecond and the request
+/// can wait for \p MaxWait.
+/// \return Nothing when it is admitted; otherwise the delay until a retry.
 inline std::optional<Duration> limitQueueTake(LimitQueue &Queue,
-                                              double PerSecond, Duration Spare,
-                                              TimePoint Now) {
+                                              double PerSecond,
+                                              Duration MaxWait, TimePoint Now) {
   constexpr double MsPerSecond = 1e3;
-  TimePoint Turn = std::max(Now, Queue.Free);
-  if (Turn - Now > Spare)
-    return Turn - Now - Spare;
-  Queue.Free = Turn + fromMs(MsPerSecond / PerSecond);
+  TimePoint Slot = std::max(Now, Queue.NextSlot);
+  if (Slot - Now > MaxWait)
+    return Slot - Now - MaxWait;
+  Queue.NextSlot = Slot + fromMs(MsPerSecond / PerSecond);
   return std::nullopt;
 }
 
