--- a/src/batch.cpp
+++ b/src/batch.cpp
@@ -1,4 +1,4 @@
-/// \file batch.cpp Forming calls out of the pieces of many requests.
+/// \file batch.cpp Combining pieces of many requests into calls.
 #include "batch_internal.h"
 
 #include <algorithm>
@@ -10,31 +10,31 @@
 
 namespace fulmar {
 
-/// Asks that wait at most; at ten pieces each, many seconds of work for any
-/// pool that the limits of its upstreams describe.
+/// Limit on batch requests in progress; at ten pieces each, many seconds of
+/// work for any pool that the limits of its upstreams describe.
 static constexpr std::size_t MaxJobs = 2000;
-/// Calls that one piece may be part of: the first, and two more after failures.
+/// Limit on calls that carry one piece: the first, and two more after failures.
 static constexpr int MaxSends = 3;
-/// Calls in a row that fail before an upstream is left out for a while.
+/// Consecutive failed calls before an upstream is avoided for a while.
 static constexpr int FailuresToAvoid = 2;
 static constexpr Duration AvoidTime = std::chrono::seconds(2);
-/// An upstream that says it is full is left alone for this long, and for twice
-/// as long each further time. Another node gives it work too, as happens while
-/// nodes differ about who forms the calls; its queue moves once in a call's
-/// time, a few hundred ms.
-static constexpr Duration FullPause = std::chrono::milliseconds(80);
-static constexpr int MostFullDoublings = 3;
+/// Initial backoff for an upstream that reports that it is full; it doubles
+/// with each further refusal. Another node sends it calls too, as happens while
+/// nodes disagree about the coordinator; its queue advances once per call,
+/// which takes a few hundred ms.
+static constexpr Duration FullBackoff = std::chrono::milliseconds(80);
+static constexpr int MaxBackoffDoublings = 3;
 /// Weight of the newest call in an upstream's slowness.
-static constexpr double SlownessGain = 0.4;
-static constexpr double LeastSlowness = 0.5;
-/// Part of an idle upstream's slowness that is forgotten in a period: after
-/// some seconds it is worth another try, and would otherwise never get one.
-static constexpr double SlownessForgotten = 0.02;
-/// A call that takes this many times its expected time has its pieces sent to
-/// another upstream too. Ordinary calls vary by a few per cent.
+static constexpr double SlownessWeight = 0.4;
+static constexpr double MinSlowness = 0.5;
+/// Share of an idle upstream's slowness that decays per tick, so that a slow
+/// upstream gets calls again after some seconds.
+static constexpr double SlownessDecay = 0.02;
+/// A call that takes this many times its expected duration has its pieces sent
+/// to another upstream too. Ordinary calls vary by a few per cent.
 static constexpr double HedgeFactor = 1.8;
-/// Space for results counts as scarce in a pool above this part of it.
-static constexpr double ScarceShare = 0.55;
+/// Share of an upstream's space for results above which space counts as scarce.
+static constexpr double ScarceSpaceShare = 0.55;
 
 static constexpr EnumNames<BatchEnd> EndNames = {
     "done",        "hopeless", "full",       "no_upstream",
@@ -45,13 +45,13 @@
 /// \return Whether some upstream is short of space for results.
 static bool isSpaceScarce(const BatchPool &P) {
   for (const auto &[Start, U] : P.Upstreams) {
-    if (U.RoomUsed > P.Spec.RoomBytes * ScarceShare)
+    if (U.RoomUsed > P.Spec.RoomBytes * ScarceSpaceShare)
       return true;
   }
   return false;
 }
 
-/// Gives the final answer to an ask, and forgets it.
+/// Answers a batch request and removes it.
 static void answer(BatchPool &P,
                    std::map<BatchRequestId, BatchJob>::iterator It,
                    BatchEnd End, Duration RetryIn, BatchActions &Out) {
@@ -72,19 +72,19 @@
   Out.push_back(AnswerBatchAction{Id, std::move(Result)});
 }
 
-/// Forgets the space of one result.
-static void releaseRoom(BatchPool &P, const std::string &Handle) {
+/// Releases the space of one result.
+static void releaseSpace(BatchPool &P, const std::string &Handle) {
   auto Found = P.Kept.find(Handle);
   if (Found == P.Kept.end())
     return;
-  auto Maker = P.Upstreams.find(Found->second.Upstream);
-  if (Maker != P.Upstreams.end())
-    Maker->second.RoomUsed =
-        std::max(0.0, Maker->second.RoomUsed - Found->second.Bytes);
+  auto Producer = P.Upstreams.find(Found->second.Upstream);
+  if (Producer != P.Upstreams.end())
+    Producer->second.RoomUsed =
+        std::max(0.0, Producer->second.RoomUsed - Found->second.Bytes);
   P.Kept.erase(Found);
 }
 
-/// Refuses an ask at once.
+/// Refuses a batch request on submission.
 static BatchRequestId refuse(BatchPool &P, BatchEnd End, Duration RetryIn,
                              BatchActions &Out) {
   ++P.Counts.Refused;
@@ -96,7 +96,7 @@
   return Id;
 }
 
-/// Makes the job of an ask.
+/// Adds the job of a batch request.
 static BatchJob &addJob(BatchPool &P, const BatchRequest &Request,
                         TimePoint Now) {
   BatchRequestId Id{++P.LastRequest};
@@ -107,26 +107,26 @@
   Job.Due = Now + Request.Due;
   Job.Deadline = Now + Request.Deadline;
   Job.Pieces.resize(static_cast<std::size_t>(Request.Pieces));
-  Job.Left = Job.Waiting = Request.Pieces;
+  Job.Unfinished = Job.Waiting = Request.Pieces;
   Job.Crashes = Request.Crashes;
   P.Shares.ByPriority[Request.Priority].Asked += Request.Pieces;
-  // Upstreams see pieces; who counts what counts a request once.
+  // Upstreams receive pieces, but the retry window counts a request once.
   retryWindowRequest(P.Repeats, Now);
   return Job;
 }
 
-/// \return When a request that is refused should come back: when what waits now
-/// has been done, so far that the request could have been on time.
-static Duration comeBackTime(const BatchForecast &Forecast, Duration Due) {
+/// \return The delay after which a refused request should be retried: when the
+/// present backlog has shrunk so far that the request could have been on time.
+static Duration retryDelay(const BatchForecast &Forecast, Duration Due) {
   return std::max(Forecast.Late - std::max(Due, Duration::zero()),
                   LeastComeBack);
 }
 
-/// Lets what was learnt count less, for the time since this was last done. A
-/// pool without work is not ticked.
+/// Decays smoothed values by the time since the last call. A pool without work
+/// is not ticked.
 static void age(BatchPool &P, TimePoint Now) {
   double Periods = toMs(Now - P.AgedAt) / toMs(BatchTickPeriod);
-  double Kept = std::pow(1 - SlownessForgotten, Periods);
+  double Kept = std::pow(1 - SlownessDecay, Periods);
   for (auto &[Start, U] : P.Upstreams) {
     if (U.InFlight == 0)
       U.Slowness = 1 + (U.Slowness - 1) * Kept;
@@ -146,15 +146,15 @@
   auto Forecast = batchForecast(P, Request.Pieces, Request.Priority, Now);
   if (!Forecast)
     return refuse(P, BatchEnd::NoUpstream, AvoidTime, Out);
-  // What cannot be on time waits behind all that can. Let in for the first of
-  // the two times, a request would wait while others pass it, and be refused in
-  // the end.
+  // A job that cannot be on time waits behind all that can. If only OnTime were
+  // compared with the deadline, such a request would be accepted, wait while
+  // others overtake it, and be refused in the end.
   bool OnTime = Forecast->OnTime <= Request.Due;
   if ((OnTime ? Forecast->OnTime : Forecast->Late) > Request.Deadline)
-    return refuse(P, BatchEnd::Hopeless, comeBackTime(*Forecast, Request.Due),
+    return refuse(P, BatchEnd::Hopeless, retryDelay(*Forecast, Request.Due),
                   Out);
   BatchRequestId Id = addJob(P, Request, Now).Id;
-  batchPump(P, Now, Out);
+  batchDispatch(P, Now, Out);
   return Id;
 }
 
@@ -166,15 +166,15 @@
   for (const BatchPiece &Piece : Found->second.Pieces) {
     if (Piece.Handle.empty())
       continue;
-    releaseRoom(P, Piece.Handle);
+    releaseSpace(P, Piece.Handle);
     Out.push_back(FreeBatchAction{Piece.Handle});
     ++P.Counts.Wasted;
   }
   P.Jobs.erase(Found);
-  batchPump(P, Now, Out);
+  batchDispatch(P, Now, Out);
 }
 
-/// Takes one result in.
+/// Stores the result of one piece.
 static void takeResult(BatchPool &P, const BatchCall &Call, std::size_t Index,
                        const PieceResult &Result, TimePoint Now,
                        BatchActions &Out) {
@@ -185,8 +185,8 @@
   if (Found == P.Jobs.end() ||
       !Found->second.Pieces[static_cast<std::size_t>(Item.Piece)]
            .Handle.empty()) {
-    // Cancelled meanwhile, or another call was quicker.
-    releaseRoom(P, Result.Handle);
+    // Cancelled meanwhile, or another call returned the piece first.
+    releaseSpace(P, Result.Handle);
     Out.push_back(FreeBatchAction{Result.Handle});
     ++P.Counts.Wasted;
     return;
@@ -197,22 +197,22 @@
     --Job.Waiting;
   Piece.State = PieceState::Done;
   Piece.Handle = Result.Handle;
-  if (--Job.Left == 0)
+  if (--Job.Unfinished == 0)
     answer(P, Found, BatchEnd::Done, Duration::zero(), Out);
 }
 
 /// Why a piece of a call has no result.
 struct PieceFailure {
-  BatchEnd Why = BatchEnd::Failed; ///< What its ask is told, if it ends.
-  bool Again = false;              ///< Another try may do better.
-  bool Refused = false;            ///< It was not worked on.
-  bool Crashed = false;            ///< Its upstream broke off.
+  BatchEnd Why = BatchEnd::Failed; ///< If it fails its batch request.
+  bool Again = false;              ///< The piece may be sent again.
+  bool Refused = false;            ///< The upstream did not start it.
+  bool Crashed = false;            ///< The upstream crashed during the call.
 };
 
-/// A piece of a call has no result: it waits again, or its ask fails. One that
-/// was not worked on, because the upstream was full or had no space, waits
-/// until it is of no use; if a few refusals failed the request, one whose
-/// upstreams are only busy would fail within a quarter of a second.
+/// Handles a piece without a result: it waits again, or its batch request
+/// fails. A piece that was not started, because the upstream was full or had no
+/// space, waits until its deadline; if a few refusals failed the request, one
+/// whose upstreams are only busy would fail within a quarter of a second.
 static void pieceFailed(BatchPool &P, const BatchItem &Item,
                         const PieceFailure &Failure, TimePoint Now,
                         BatchActions &Out) {
@@ -224,7 +224,7 @@
   if (Failure.Crashed)
     Job.Crashes = std::max(Job.Crashes, ++Piece.Crashes);
   if (Piece.State != PieceState::Running || Piece.Running > 0)
-    return; // Done, or another call may still bring it.
+    return; // Done, or another call in flight carries it.
   if (Failure.Refused)
     --Piece.Sends;
   else if (!Failure.Again || Piece.Sends >= MaxSends ||
@@ -234,13 +234,13 @@
   ++Job.Waiting;
 }
 
-/// An upstream did not take work, because it is full or has no space.
+/// Records that an upstream refused work because it is full or has no space.
 static void learnRefusal(BatchUpstream &U, TimePoint Now) {
-  int Doublings = std::min(U.Refusals++, MostFullDoublings);
-  U.FullUntil = Now + FullPause * (1 << Doublings);
+  int Doublings = std::min(U.Refusals++, MaxBackoffDoublings);
+  U.FullUntil = Now + FullBackoff * (1 << Doublings);
 }
 
-/// A call did not come to an answer for each piece.
+/// Records a call that did not return a result for each piece.
 static void learnFailure(BatchUpstream &U, AttemptEffect Effect,
                          TimePoint Now) {
   U.FreeAt = Now;
@@ -250,37 +250,39 @@
     U.AvoidUntil = Now + AvoidTime;
 }
 
-/// \return Whether some piece of a call ended so.
+/// \return Whether some piece of a call ended with \p End.
 static bool anyPiece(const BatchCallResult &Result, PieceEnd End) {
   return std::any_of(Result.Pieces.begin(), Result.Pieces.end(),
                      [End](const PieceResult &P) { return P.End == End; });
 }
 
-/// Learns from an answer about the upstream and from the time it took.
+/// Updates the state of an upstream from a response and the time it took.
 static void learnAnswer(const BatchPool &P, BatchUpstream &U,
                         const BatchCall &Call, const BatchCallResult &Result,
                         TimePoint Now) {
   U.Failures = 0;
-  U.HeardAt = Now;
-  U.Others = Result.Load ? std::max(0, Result.Load->Running +
+  U.LastResponseAt = Now;
+  U.OtherNodeCalls = Result.Load
+                         ? std::max(0, Result.Load->Running +
                                            Result.Load->Waiting - U.InFlight)
                          : 0;
   if (anyPiece(Result, PieceEnd::NoRoom))
     learnRefusal(U, Now);
   else
     U.Refusals = 0;
-  // One that did nothing is no quicker for that.
+  // A call without any result says nothing about the speed.
   if (!anyPiece(Result, PieceEnd::Done))
     return;
   int Size = static_cast<int>(Call.Items.size());
   double Ratio =
       toMs(Now - Call.Sent) / toMs(batchCallTime(P.Spec, Size) + CallOverhead);
-  U.Slowness += (Ratio - U.Slowness) * SlownessGain;
-  // An upstream that is quicker than its figures is no reason to hurry.
-  U.Slowness = std::max(U.Slowness, LeastSlowness);
+  U.Slowness += (Ratio - U.Slowness) * SlownessWeight;
+  // An upstream faster than its configured call time must not shorten the
+  // estimates further.
+  U.Slowness = std::max(U.Slowness, MinSlowness);
 }
 
-/// Learns from the end of a call.
+/// Updates the state of an upstream at the end of a call.
 static void learn(BatchPool &P, const BatchCall &Call, bool Answered,
                   const BatchCallResult &Result, TimePoint Now) {
   auto Found = P.Upstreams.find(Call.Upstream);
@@ -315,12 +317,13 @@
   return {BatchEnd::Failed, /*Again=*/true, /*Refused=*/false};
 }
 
-/// The space set aside for a result that was not made is free.
-static void returnRoom(BatchPool &P, const BatchCall &Call, std::size_t Index) {
-  auto Maker = P.Upstreams.find(Call.Upstream);
-  if (Maker != P.Upstreams.end())
-    Maker->second.RoomUsed =
-        std::max(0.0, Maker->second.RoomUsed - Call.Bytes[Index]);
+/// Releases the space reserved for a result that was not produced.
+static void releaseReservation(BatchPool &P, const BatchCall &Call,
+                               std::size_t Index) {
+  auto Producer = P.Upstreams.find(Call.Upstream);
+  if (Producer != P.Upstreams.end())
+    Producer->second.RoomUsed =
+        std::max(0.0, Producer->second.RoomUsed - Call.Bytes[Index]);
 }
 
 void batchCallEnded(BatchPool &P, BatchCallId Id, const BatchCallResult &Result,
@@ -332,7 +335,8 @@
   P.Calls.erase(Ended);
   bool Answered = Result.Answered && Result.Pieces.size() == Call.Items.size();
   learn(P, Call, Answered, Result, Now);
-  int Found = 0; // Pieces whose inputs were given back early, and were there.
+  // Pieces whose inputs were released early: still there, and missing.
+  int Found = 0;
   int Missed = 0;
   for (std::size_t I = 0; I < Call.Items.size(); ++I) {
     const BatchItem &Item = Call.Items[I];
@@ -346,19 +350,19 @@
       takeResult(P, Call, I, Result.Pieces[I], Now, Out);
       continue;
     }
-    returnRoom(P, Call, I);
+    releaseReservation(P, Call, I);
     PieceFailure Failure = failureOf(Result, Answered, I);
     Missed += Early && Failure.Why == BatchEnd::InputsGone ? 1 : 0;
     pieceFailed(P, Item, Failure, Now, Out);
   }
   readWaitLearn(P.InputsRead, Missed, Found);
-  batchPump(P, Now, Out);
+  batchDispatch(P, Now, Out);
 }
 
-/// Has those pieces of a job made again whose results are lost.
-/// \return Whether they may be.
-static bool remakePieces(BatchPool &P, BatchJob &Job,
-                         const std::set<std::string> &Lost, TimePoint Now) {
+/// Recomputes those pieces of a job whose results are lost.
+/// \return Whether they may be repeated.
+static bool recomputePieces(BatchPool &P, BatchJob &Job,
+                            const std::set<std::string> &Lost, TimePoint Now) {
   for (BatchPiece &Piece : Job.Pieces) {
     if (Piece.State != PieceState::Done || !Lost.count(Piece.Handle))
       continue;
@@ -368,7 +372,7 @@
     Piece.Handle.clear();
     Piece.State = PieceState::Waiting;
     ++Job.Waiting;
-    ++Job.Left;
+    ++Job.Unfinished;
   }
   return true;
 }
@@ -378,25 +382,25 @@
   std::set<std::string> Handles(Lost.begin(), Lost.end());
   std::vector<BatchRequestId> Failed;
   for (auto &[Id, Job] : P.Jobs) {
-    if (!remakePieces(P, Job, Handles, Now))
+    if (!recomputePieces(P, Job, Handles, Now))
       Failed.push_back(Id);
   }
   for (BatchRequestId Id : Failed)
     answer(P, P.Jobs.find(Id), BatchEnd::Failed, P.Spec.CallTime, Out);
-  batchPump(P, Now, Out);
+  batchDispatch(P, Now, Out);
 }
 
 void batchFree(BatchPool &P, std::span<const std::string> Handles,
                TimePoint Now, BatchActions &Out) {
   for (const std::string &Handle : Handles) {
-    releaseRoom(P, Handle);
+    releaseSpace(P, Handle);
     Out.push_back(FreeBatchAction{Handle});
   }
-  batchPump(P, Now, Out);
+  batchDispatch(P, Now, Out);
 }
 
-void batchUpstreams(BatchPool &P, std::span<const UpstreamEntry> Listed,
-                    TimePoint Now, BatchActions &Out) {
+void batchSetUpstreams(BatchPool &P, std::span<const UpstreamEntry> Listed,
+                       TimePoint Now, BatchActions &Out) {
   for (auto &[Start, U] : P.Upstreams)
     U.Listed = false;
   for (const UpstreamEntry &Entry : Listed) {
@@ -407,23 +411,23 @@
   std::erase_if(P.Upstreams, [](const auto &Item) {
     return !Item.second.Listed && Item.second.InFlight == 0;
   });
-  batchPump(P, Now, Out);
+  batchDispatch(P, Now, Out);
 }
 
-/// Gives up what is of no use any more, and what waits so far back that it
-/// will be of none when its turn comes: its client can come back meanwhile, and
-/// the work that its later stages would take goes to others.
+/// Drops jobs past their deadline, and jobs so far back in the queue that they
+/// would be past it when sent: the client can retry earlier, and the capacity
+/// that their later stages would take goes to others.
 static void dropExpired(BatchPool &P, TimePoint Now, BatchActions &Out) {
-  PoolPace Pace = batchPace(P, Now);
+  PoolThroughput Throughput = batchThroughput(P, Now);
   double Ahead = 0;
   double AheadLate = 0;
   std::vector<BatchRequestId> Hopeless;
-  for (const BatchJob *Job : batchWaiting(P, Now)) {
+  for (const BatchJob *Job : batchWaitingJobs(P, Now)) {
     bool IsLate = batchOrder(P, *Job, Now).Rank == WaitRank::Late;
     Ahead += Job->Waiting;
     AheadLate += IsLate ? Job->Waiting : 0;
-    Duration Late = batchWait(Pace, Ahead, AheadLate) + P.Spec.CallTime -
-                    (Job->Deadline - Now);
+    Duration Late = batchQueueDelay(Throughput, Ahead, AheadLate) +
+                    P.Spec.CallTime - (Job->Deadline - Now);
     if (Late <= Duration::zero())
       continue;
     Ahead -= Job->Waiting;
@@ -434,8 +438,9 @@
     if (Job.Waiting == 0 && Job.Deadline < Now)
       Hopeless.push_back(Id);
   }
-  // When what stays has been done.
-  Duration RetryIn = std::max(batchWait(Pace, Ahead, AheadLate), LeastComeBack);
+  // The time until the remaining jobs are sent.
+  Duration RetryIn =
+      std::max(batchQueueDelay(Throughput, Ahead, AheadLate), LeastComeBack);
   for (BatchRequestId Id : Hopeless) {
     ++P.Counts.Dropped;
     answer(P, P.Jobs.find(Id), BatchEnd::Hopeless, RetryIn, Out);
@@ -443,9 +448,9 @@
 }
 
 /// Sends the pieces of calls that take much too long to another upstream as
-/// well. An upstream that turns slow holds every request whose piece it has;
-/// one sees it in requests that wait for a single stage far past its usual
-/// time. A piece may be made twice, and the first result counts.
+/// well. An upstream that becomes slow delays every request that has a piece
+/// there: such requests wait for a single stage far past its usual time. A
+/// piece may be computed twice; the first result counts.
 static void hedge(BatchPool &P, TimePoint Now) {
   for (auto &[Id, Call] : P.Calls) {
     Duration Usual = batchCallTime(P.Spec, static_cast<int>(Call.Items.size()));
@@ -474,16 +479,17 @@
   }
 }
 
-/// Tells whose inputs have been read. Their space is scarce at their makers,
-/// and a call takes hundreds of ms after it has read them: with the space taken
-/// until its end, the pool before it waits for space.
+/// Notifies submitters whose inputs have been read. The space of inputs is
+/// scarce at the upstreams that store them, and a call takes hundreds of ms
+/// after it has read them: if they were kept until its end, the pool of the
+/// previous stage would wait for space.
 ///
-/// A call that waits at its upstream has read nothing. While nodes differ about
-/// who forms the calls, two of them use the same upstreams; inputs that are
-/// given back then are gone at the calls' turn, and must be made again.
-static void tellRead(BatchPool &P, TimePoint Now, BatchActions &Out) {
+/// A call that waits at its upstream has not read its inputs. While nodes
+/// disagree about the coordinator, two of them use the same upstreams; inputs
+/// released then are gone when the call starts, and must be computed again.
+static void notifyInputsRead(BatchPool &P, TimePoint Now, BatchActions &Out) {
   for (auto &[Id, Job] : P.Jobs) {
-    if (!Job.Request.TellRead || Job.InputsRead || !Job.AtOnce ||
+    if (!Job.Request.TellRead || Job.InputsRead || !Job.StartsImmediately ||
         Job.Waiting > 0 || Now - Job.StartedAt < P.InputsRead.Wait)
       continue;
     Job.InputsRead = true;
@@ -498,12 +504,12 @@
       Expired.push_back(Handle);
   }
   for (const std::string &Handle : Expired)
-    releaseRoom(P, Handle);
+    releaseSpace(P, Handle);
   age(P, Now);
   dropExpired(P, Now, Out);
   hedge(P, Now);
-  tellRead(P, Now, Out);
-  batchPump(P, Now, Out);
+  notifyInputsRead(P, Now, Out);
+  batchDispatch(P, Now, Out);
 }
 
 } // namespace fulmar
--- a/src/batch_backend.h
+++ b/src/batch_backend.h
@@ -1,4 +1,5 @@
-/// \file batch_backend.h What serves asks on the node that they were given to.
+/// \file batch_backend.h Interface for batch requests that this node
+/// coordinates.
 #ifndef FULMARSTEP_BATCH_BACKEND_H
 #define FULMARSTEP_BATCH_BACKEND_H
 
@@ -6,7 +7,7 @@
 
 namespace fulmar {
 
-/// Serves the asks of some pools on this node.
+/// Serves batch requests for some pools on this node.
 class BatchBackend {
 public:
   using DoneFn = BatchTickets::DoneFn;
@@ -14,20 +15,20 @@
 
   virtual ~BatchBackend() = default;
 
-  /// Asks. \p Done is called once, not before this returns.
-  /// \param Read is called if the inputs are read before that.
+  /// Submits a batch request. \p Done is called once, not before this returns.
+  /// \param Read is called if the inputs have been read before that.
   virtual BatchTicket ask(const std::string &Pool, const BatchRequest &Request,
                           DoneFn Done, ReadFn Read) = 0;
-  /// Estimates what pieces that are asked for now would take.
+  /// Estimates the time that pieces submitted now would take.
   /// \return Nothing when it is not known.
   virtual std::optional<BatchForecast>
   forecast(const std::string &Pool, const BatchRequest &Request) = 0;
-  /// Nobody waits any more; \p Done is not called.
+  /// Cancels a batch request; \p Done is not called.
   virtual void cancel(BatchTicket Ticket) = 0;
-  /// Results of \p Pool are not needed any more.
+  /// Frees results of \p Pool that are not needed any more.
   virtual void free(const std::string &Pool,
                     const std::vector<std::string> &Handles) = 0;
-  /// \return How many upstreams a pool has, all its parts together.
+  /// \return The number of upstreams of a pool, over all its parts.
   virtual std::size_t size(const std::string &Pool) const = 0;
 };
 
--- a/src/batch_base.h
+++ b/src/batch_base.h
@@ -18,136 +18,137 @@
 
 /// What is known of one upstream.
 struct BatchUpstream {
-  UpstreamEntry Entry;    ///< As it is listed.
-  bool Listed = true;     ///< Still listed.
-  int InFlight = 0;       ///< Calls in progress.
-  TimePoint FreeAt{};     ///< When its latest call should end.
-  double Slowness = 1;    ///< Smoothed time of its calls over the expected.
-  int Failures = 0;       ///< Calls in a row that failed.
-  int Refusals = 0;       ///< Calls in a row that it refused as full.
-  int Others = 0;         ///< Calls of other nodes, when it was last heard.
-  TimePoint HeardAt{};    ///< Of its latest answer; zero: none yet.
-  TimePoint AvoidUntil{}; ///< Left out until then, for its failures.
-  TimePoint FullUntil{};  ///< It said that it was full; not asked until then.
-  double RoomUsed = 0;    ///< Bytes of results that it keeps.
-  SendPace Pace;          ///< While it names a limit.
+  UpstreamEntry Entry;    ///< Its entry in the upstream list.
+  bool Listed = true;     ///< It is in the current upstream list.
+  int InFlight = 0;       ///< Calls in flight from this node.
+  TimePoint FreeAt{};     ///< Expected end of the latest call.
+  double Slowness = 1;    ///< Smoothed ratio of actual to expected call time.
+  int Failures = 0;       ///< Consecutive failed calls.
+  int Refusals = 0;       ///< Consecutive calls that it refused as full.
+  int OtherNodeCalls = 0; ///< Calls of other nodes, as last reported.
+  TimePoint LastResponseAt{}; ///< Time of its latest response; zero: none yet.
+  TimePoint AvoidUntil{};     ///< Gets no calls until then, after failures.
+  TimePoint FullUntil{}; ///< Gets no calls until then, after it reported that
+                         ///< it was full.
+  double RoomUsed = 0;   ///< Bytes of stored and reserved results.
+  SendPace Pace;         ///< Paces calls while the upstream names a rate limit.
 };
 
-/// What became of one piece so far.
+/// The state of one piece.
 enum class PieceState {
-  Waiting, ///< Not sent, or to be sent again.
+  Waiting, ///< Not sent yet, or to be sent again.
   Running, ///< In a call.
   Done,    ///< Its result is known.
   Count,   ///< Number of states.
   Invalid, ///< Not a state.
 };
 
-/// One piece of an ask.
+/// One piece of a batch request.
 struct BatchPiece {
-  PieceState State = PieceState::Waiting; ///< So far.
-  int Tries = 0;                          ///< Calls that it was sent in.
-  int Sends = 0;                          ///< Of them not refused as full.
-  int Running = 0;                        ///< Calls that it is part of now.
-  int Crashes = 0;                        ///< Of them those that broke off.
-  std::string Handle;                     ///< Its result.
+  PieceState State = PieceState::Waiting;
+  int Tries = 0;      ///< Calls that it was sent in.
+  int Sends = 0;      ///< Those of them that were not refused as full.
+  int Running = 0;    ///< Calls in flight that carry it.
+  int Crashes = 0;    ///< Calls with it that ended in a crash of the upstream.
+  std::string Handle; ///< Handle of its result; empty: none yet.
 };
 
-/// An ask in progress.
+/// A batch request in progress.
 struct BatchJob {
-  BatchRequestId Id;              ///< Its name here.
-  BatchRequest Request;           ///< What is asked.
-  TimePoint Asked{};              ///< When.
-  TimePoint Due{};                ///< Done by then, it can be on time.
-  TimePoint Deadline{};           ///< Done later, it is of no use.
-  std::vector<BatchPiece> Pieces; ///< In order.
-  int Left = 0;                   ///< Pieces without a result.
-  int Waiting = 0;                ///< Pieces that wait.
+  BatchRequestId Id;
+  BatchRequest Request; ///< The request, as submitted.
+  TimePoint Asked{};    ///< When it was submitted.
+  TimePoint Due{};      ///< Latest completion for the request to be on time.
+  TimePoint Deadline{}; ///< A later result is of no use.
+  std::vector<BatchPiece> Pieces; ///< By index.
+  int Unfinished = 0;             ///< Pieces without a result.
+  int Waiting = 0;                ///< Pieces in state Waiting.
   bool Ran = false;               ///< Some piece ran or may have run.
-  int Crashes = 0;                ///< Calls that broke off under a piece.
-  TimePoint StartedAt{};          ///< When its last waiting piece was sent.
-  bool InputsRead = false;        ///< It was told that its inputs were read.
-  bool AtOnce =
-      true; ///< Its calls began as soon as they came, for all we know.
+  int Crashes = 0;         ///< Most upstream crashes under one of its pieces.
+  TimePoint StartedAt{};   ///< When its last waiting piece was sent.
+  bool InputsRead = false; ///< The submitter was notified of it.
+  /// As far as is known, upstreams started its calls on arrival.
+  bool StartsImmediately = true;
 };
 
-/// A call in progress.
+/// A call in flight.
 struct BatchCall {
-  Incarnation Upstream;         ///< To whom.
+  Incarnation Upstream;         ///< The receiver.
   std::vector<BatchItem> Items; ///< Its pieces, in order.
-  std::vector<double> Bytes;    ///< Space set aside for each result.
-  TimePoint Sent{};             ///< When it was sent.
-  Duration Expected{};          ///< What it should take.
-  bool Hedged = false;          ///< Its pieces were sent elsewhere as well.
+  std::vector<double> Bytes; ///< Space reserved for the result of each piece.
+  TimePoint Sent{};          ///< When it was sent.
+  Duration Expected{};       ///< Expected duration.
+  bool Hedged = false;       ///< Its pieces were sent to another upstream too.
 };
 
-/// A result that an upstream keeps.
+/// A result that is stored at an upstream.
 struct KeptResult {
-  Incarnation Upstream; ///< Who keeps it.
+  Incarnation Upstream; ///< The upstream that stores it.
   double Bytes = 0;     ///< Its size.
-  TimePoint Until{};    ///< When the upstream drops it by itself.
+  TimePoint Until{};    ///< When it expires there.
 };
 
-/// Counts for operators.
+/// Counters for metrics.
 struct BatchCounts {
-  std::uint64_t Asks = 0;    ///< Asked.
-  std::uint64_t Refused = 0; ///< Of them refused at once.
-  std::uint64_t Dropped = 0; ///< Of them given up while they waited.
+  std::uint64_t Asks = 0;    ///< Batch requests.
+  std::uint64_t Refused = 0; ///< Batch requests refused on submission.
+  std::uint64_t Dropped = 0; ///< Batch requests given up while they waited.
   std::uint64_t Calls = 0;   ///< Calls sent.
-  std::uint64_t Pieces = 0;  ///< Pieces in them.
+  std::uint64_t Pieces = 0;  ///< Pieces in calls.
   std::uint64_t Repeats = 0; ///< Pieces sent more than once.
-  std::uint64_t Hedges = 0;  ///< Calls doubled because they were slow.
-  std::uint64_t Wasted = 0;  ///< Results that nobody wanted any more.
+  std::uint64_t Hedges = 0;  ///< Slow calls whose pieces were sent again.
+  std::uint64_t Wasted = 0;  ///< Results unused: cancelled or duplicate.
 };
 
-/// One pool, as the node sees it that forms its calls.
+/// The state of a pool, or of one part of it, at its coordinator.
 struct BatchPool {
-  std::string Name;         ///< Of the pool.
-  BatchSpec Spec;           ///< What its upstreams can do.
-  RetryAllowance Allowance; ///< Of repeated pieces.
-  RetryWindow Repeats;      ///< Of pieces.
-  std::map<Incarnation, BatchUpstream> Upstreams;   ///< By start.
-  std::map<BatchRequestId, BatchJob> Jobs;          ///< In progress, by age.
-  std::map<BatchCallId, BatchCall> Calls;           ///< In progress.
+  std::string Name;         ///< Of the part, see batchPartName().
+  BatchSpec Spec;           ///< Limits and call times of its upstreams.
+  RetryAllowance Allowance; ///< Limit on repeated pieces.
+  RetryWindow Repeats; ///< Requests and repeated pieces of the latest window.
+  std::map<Incarnation, BatchUpstream> Upstreams; ///< By incarnation.
+  std::map<BatchRequestId, BatchJob> Jobs; ///< In progress, oldest first.
+  std::map<BatchCallId, BatchCall> Calls;  ///< In flight.
   std::unordered_map<std::string, KeptResult> Kept; ///< By handle.
-  ReadWait InputsRead;                              ///< Of calls' pieces.
-  PriorityShares Shares;                            ///< Of pieces.
-  double CallFill = 0;  ///< Pieces in a call when more wait, smoothed; 0: none
-                        ///< was sent so far.
-  TimePoint LastSent{}; ///< Of the latest call.
-  TimePoint AgedAt{};   ///< When what it has learnt was last aged.
-  TimePoint PumpAt{};   ///< Pieces are held back until then; zero: none are.
-  std::uint64_t LastRequest = 0; ///< Counts asks.
-  std::uint64_t LastCall = 0;    ///< Counts calls.
-  BatchCounts Counts;            ///< For operators.
+  ReadWait InputsRead;    ///< Time after which a call has read its inputs.
+  PriorityShares Shares;  ///< Of the pool among priorities.
+  double CallFill = 0;    ///< Smoothed pieces in a call while more wait than it
+                          ///< can carry; 0: none was sent so far.
+  TimePoint LastSent{};   ///< When the latest call was sent.
+  TimePoint AgedAt{};     ///< When smoothed values were last decayed.
+  TimePoint DispatchAt{}; ///< Pieces are held back until then; zero: none are.
+  std::uint64_t LastRequest = 0; ///< Last BatchRequestId assigned.
+  std::uint64_t LastCall = 0;    ///< Last BatchCallId assigned.
+  BatchCounts Counts;
 };
 
-/// Send a call.
+/// Send a call to an upstream.
 struct SendBatchAction {
-  BatchCallId Call;             ///< Name that its end comes back under.
+  BatchCallId Call;             ///< To be passed to batchCallEnded().
   std::string Address;          ///< Of the upstream.
-  Incarnation Upstream;         ///< To whom; another must refuse it.
+  Incarnation Upstream;         ///< Another incarnation must refuse the call.
   std::vector<BatchItem> Items; ///< Its pieces.
-  Duration Timeout{};           ///< Given up after this time.
+  Duration Timeout{};           ///< Time after which the call is cancelled.
   double RoomUsed = 0;          ///< Bytes of results at the upstream, for logs.
 };
 
-/// Tell who asked.
+/// Pass a result to the submitter of a batch request.
 struct AnswerBatchAction {
-  BatchRequestId Request; ///< Which ask.
-  BatchResult Result;     ///< What it came to.
+  BatchRequestId Request;
+  BatchResult Result;
 };
 
-/// Tell who asked that the inputs are not needed any more.
+/// Notify the submitter that the inputs are not needed any more.
 struct InputsReadAction {
-  BatchRequestId Request; ///< Which ask.
+  BatchRequestId Request;
 };
 
-/// Let an upstream drop results.
+/// Have an upstream drop a result.
 struct FreeBatchAction {
-  std::string Handle; ///< Names the result.
+  std::string Handle; ///< Handle of the result.
 };
 
-/// Anything that a pool asks its surroundings to do.
+/// An action that the caller of a batch function carries out.
 using BatchAction = std::variant<SendBatchAction, AnswerBatchAction,
                                  InputsReadAction, FreeBatchAction>;
 using BatchActions = std::vector<BatchAction>;
--- a/src/batch_order.cpp
+++ b/src/batch_order.cpp
@@ -1,4 +1,4 @@
-/// \file batch_order.cpp What waits for a pool, in which order and how long.
+/// \file batch_order.cpp Order and expected delay of waiting jobs.
 #include "batch_internal.h"
 
 #include <algorithm>
@@ -35,59 +35,59 @@
 }
 
 /// \return The time that a job must have left to count as on time: a full call,
-/// for calls are full when a pool is behind, and the time until the next one,
-/// which often carries its last pieces.
+/// since calls are full when a pool is overloaded, and the interval until the
+/// next one, which often carries its last pieces.
 ///
-/// With the time of the smallest call, an overloaded pool would always serve
-/// the job that is just about to be late, and end it late (test "a burst that
-/// is more than the pool can do"). With half a call more, requests whose target
-/// is twice a call would be late once they have waited for a moment, and the
-/// pool would serve them in the order of their age (test "a burst whose
-/// refusals come at once").
-static Duration onTimeNeeds(const BatchPool &P) {
+/// With the duration of the smallest call, an overloaded pool would always
+/// serve the job that is just about to be late, and complete it late (test "a
+/// burst beyond the capacity of the pool"). With half a call more, requests
+/// whose target is twice a call would count as late after a short wait, and the
+/// pool would serve them by age (test "a burst whose refusals come at once").
+static Duration onTimeReserve(const BatchPool &P) {
   auto Places = static_cast<double>(P.Upstreams.size()) * P.Spec.Slots;
   return fromMs(toMs(batchCallTime(P.Spec, P.Spec.MaxPieces)) *
                 (1 + 1 / std::max(1.0, Places)));
 }
 
-TimePoint batchOnTimeFrom(const BatchPool &P, TimePoint Now) {
-  return Now + onTimeNeeds(P);
+TimePoint batchOnTimeThreshold(const BatchPool &P, TimePoint Now) {
+  return Now + onTimeReserve(P);
 }
 
-/// \return The rank of a job none of whose pieces was sent. A pool that is
-/// behind must not spend itself on requests that are late already, or it makes
-/// the next ones late too.
-static WaitRank freshRank(const BatchPool &P, int Priority, TimePoint Due,
-                          TimePoint Now) {
-  if (Due < batchOnTimeFrom(P, Now))
+/// \return The rank of a job none of whose pieces was sent. An overloaded pool
+/// must not work on requests that are late already, or it makes the next ones
+/// late too.
+static WaitRank unstartedRank(const BatchPool &P, int Priority, TimePoint Due,
+                              TimePoint Now) {
+  if (Due < batchOnTimeThreshold(P, Now))
     return WaitRank::Late;
-  return shareBehind(P.Shares, Priority) ? WaitRank::Behind : WaitRank::OnTime;
+  return shareUnderserved(P.Shares, Priority) ? WaitRank::Underserved
+                                              : WaitRank::OnTime;
 }
 
-/// A job whose first pieces are done keeps space for them until the last one
-/// is. If others go first, the space of a whole pool fills with parts of
-/// requests that cannot go on: calls shrink to a third while hundreds of pieces
-/// wait.
+/// A job whose first pieces are done occupies space for their results until its
+/// last piece is done. If other jobs went first, the space of the whole pool
+/// would fill with incomplete jobs: calls shrink to a third while hundreds of
+/// pieces wait.
 static WaitRank rankOf(const BatchPool &P, const BatchJob &Job, TimePoint Now) {
-  if (Job.Left < Job.Request.Pieces || Job.Waiting < Job.Left)
-    return WaitRank::Begun;
-  return freshRank(P, Job.Request.Priority, Job.Due, Now);
+  if (Job.Unfinished < Job.Request.Pieces || Job.Waiting < Job.Unfinished)
+    return WaitRank::Started;
+  return unstartedRank(P, Job.Request.Priority, Job.Due, Now);
 }
 
 WaitOrder batchOrder(const BatchPool &P, const BatchJob &Job, TimePoint Now) {
   return {rankOf(P, Job, Now), Job.Request.Priority, Job.Due};
 }
 
-/// What is late gets at least this part of a pool, for estimates: bursts end,
-/// and nobody knows when.
-static constexpr double LeastLateShare = 0.1;
+/// Least share of a pool that late jobs get in estimates: a burst ends at an
+/// unknown time.
+static constexpr double MinLateShare = 0.1;
 
-/// \return Pieces a second that a pool ends while more wait.
-static double rateOf(const PoolPace &Pace) {
-  return Pace.Upstreams * Pace.Fill * 1e3 / Pace.CallMs;
+/// \return Pieces a second that a pool completes while more wait.
+static double piecesPerSecond(const PoolThroughput &Throughput) {
+  return Throughput.Upstreams * Throughput.Fill * 1e3 / Throughput.CallMs;
 }
 
-/// \return Pieces that wait and can be on time.
+/// \return Waiting pieces that can be on time.
 static int onTimeWaiting(const BatchPool &P, TimePoint Now) {
   int Pieces = 0;
   for (const auto &[Id, Job] : P.Jobs) {
@@ -97,50 +97,56 @@
   return Pieces;
 }
 
-/// \return The part of a pool that is left for what is late, beside so many
-/// waiting pieces that can be on time.
-static double lateShare(const BatchPool &P, const PoolPace &Pace,
+/// \return The share of a pool that is left for late jobs while \p OnTimePieces
+/// wait that can be on time.
+static double lateShare(const BatchPool &P, const PoolThroughput &Throughput,
                         double OnTimePieces) {
-  // The next call is full without it; what was sent lately shows a burst late.
+  // The next call is full without late pieces; the rate of recent sends would
+  // show a burst only after a delay.
   if (OnTimePieces >= P.Spec.MaxPieces)
-    return LeastLateShare;
-  return std::max(LeastLateShare, 1 - sharesSentRate(P.Shares) / rateOf(Pace));
-}
-
-/// \return How fast a pool does what waits, of which so many pieces can be on
-/// time.
-static PoolPace paceWith(const BatchPool &P, double OnTimePieces,
-                         TimePoint Now) {
-  PoolPace Pace;
-  Pace.Fill = P.CallFill > 0 ? P.CallFill : P.Spec.MaxPieces;
-  Pace.CallMs = toMs(P.Spec.CallTime) + toMs(P.Spec.PieceTime) * Pace.Fill;
+    return MinLateShare;
+  return std::max(MinLateShare,
+                  1 - sharesSentRate(P.Shares) / piecesPerSecond(Throughput));
+}
+
+/// \return The throughput for waiting pieces, of which \p OnTimePieces can be
+/// on time.
+static PoolThroughput estimateThroughput(const BatchPool &P,
+                                         double OnTimePieces, TimePoint Now) {
+  PoolThroughput Throughput;
+  Throughput.Fill = P.CallFill > 0 ? P.CallFill : P.Spec.MaxPieces;
+  Throughput.CallMs =
+      toMs(P.Spec.CallTime) + toMs(P.Spec.PieceTime) * Throughput.Fill;
   bool Any = false;
   for (const auto &[Start, U] : P.Upstreams) {
     if (!batchUsable(U, Now))
       continue;
-    Pace.Upstreams += batchCapacity(P, U, Pace.CallMs);
+    Throughput.Upstreams += batchCapacity(P, U, Throughput.CallMs);
     Duration Free = batchFreeAt(P, U, Now) - Now;
-    Pace.NextFree = Any ? std::min(Pace.NextFree, Free) : Free;
+    Throughput.NextFree = Any ? std::min(Throughput.NextFree, Free) : Free;
     Any = true;
   }
   if (Any)
-    Pace.LateShare = lateShare(P, Pace, OnTimePieces);
-  return Pace;
+    Throughput.LateShare = lateShare(P, Throughput, OnTimePieces);
+  return Throughput;
 }
 
-PoolPace batchPace(const BatchPool &P, TimePoint Now) {
-  return paceWith(P, onTimeWaiting(P, Now), Now);
+PoolThroughput batchThroughput(const BatchPool &P, TimePoint Now) {
+  return estimateThroughput(P, onTimeWaiting(P, Now), Now);
 }
 
-Duration batchWait(const PoolPace &Pace, double Ahead, double AheadLate) {
-  // A pool that is behind ends one call each call's time over its upstreams.
-  double StepMs = Pace.CallMs / std::max(1.0, Pace.Upstreams);
-  double Calls = std::floor((Ahead - AheadLate) / Pace.Fill);
-  double LateCalls = std::floor(AheadLate / Pace.Fill);
-  return Pace.NextFree + fromMs((Calls + LateCalls / Pace.LateShare) * StepMs);
+Duration batchQueueDelay(const PoolThroughput &Throughput, double Ahead,
+                         double AheadLate) {
+  // An overloaded pool completes a call every CallMs / Upstreams.
+  double StepMs = Throughput.CallMs / std::max(1.0, Throughput.Upstreams);
+  double Calls = std::floor((Ahead - AheadLate) / Throughput.Fill);
+  double LateCalls = std::floor(AheadLate / Throughput.Fill);
+  return Throughput.NextFree +
+         fromMs((Calls + LateCalls / Throughput.LateShare) * StepMs);
 }
 
-/// \return What pieces take once \p Ahead others have been sent.
+/// \return The duration of the call that carries \p Pieces, once \p Ahead
+/// others have been sent.
 static Duration timeOfCall(const BatchPool &P, int Pieces, double Ahead) {
   int Rest = static_cast<int>(Ahead) % P.Spec.MaxPieces;
   return batchCallTime(P.Spec, std::min(P.Spec.MaxPieces, Pieces + Rest)) +
@@ -161,19 +167,21 @@
     AllLate += Order.Rank == WaitRank::Late ? Job.Waiting : 0;
     Ahead += Order <= Mine ? Job.Waiting : 0;
   }
-  PoolPace Pace = paceWith(P, All - AllLate, Now);
-  if (Pace.Upstreams == 0)
+  PoolThroughput Throughput = estimateThroughput(P, All - AllLate, Now);
+  if (Throughput.Upstreams == 0)
     return std::nullopt;
   BatchForecast Out;
-  // Behind others a job has to reach its call with the time that counts there.
-  Out.OnTime = batchWait(Pace, Ahead, 0) + (Ahead < P.Spec.MaxPieces
-                                                ? timeOfCall(P, Pieces, Ahead)
-                                                : onTimeNeeds(P));
-  Out.Late = batchWait(Pace, All, AllLate) + timeOfCall(P, Pieces, All);
+  // A job that waits behind others must still have the reserve of an on-time
+  // job when its call starts.
+  Out.OnTime = batchQueueDelay(Throughput, Ahead, 0) +
+               (Ahead < P.Spec.MaxPieces ? timeOfCall(P, Pieces, Ahead)
+                                         : onTimeReserve(P));
+  Out.Late =
+      batchQueueDelay(Throughput, All, AllLate) + timeOfCall(P, Pieces, All);
   return Out;
 }
 
-std::vector<BatchJob *> batchWaiting(BatchPool &P, TimePoint Now) {
+std::vector<BatchJob *> batchWaitingJobs(BatchPool &P, TimePoint Now) {
   std::vector<std::pair<WaitOrder, BatchJob *>> Ordered;
   for (auto &[Id, Job] : P.Jobs) {
     if (Job.Waiting > 0)
--- a/src/batch_place.cpp
+++ b/src/batch_place.cpp
@@ -1,4 +1,4 @@
-/// \file batch_place.cpp In which failure domain waiting jobs are made.
+/// \file batch_place.cpp Placement of waiting jobs in failure domains.
 #include "batch_internal.h"
 
 #include <algorithm>
@@ -6,24 +6,24 @@
 
 namespace fulmar {
 
-/// A job waits for its own failure domain while it would be done there this
-/// many full calls' times before it is due: others that come later and are more
-/// urgent may still go first. With less it is late too often, with more its
-/// results cross for nothing.
+/// A job waits for its preferred failure domain while it would complete there
+/// this many full calls before it is due, as more urgent jobs that arrive later
+/// may still go first. A lower value makes too many jobs late, a higher one has
+/// results cross domains without need.
 static constexpr double WaitMarginCalls = 0.9;
-/// A job that is late in any case is made elsewhere if that ends it this many
-/// full calls' times earlier.
+/// A job that is late in any case goes to another domain if it completes there
+/// this many full calls earlier.
 static constexpr double LateGainCalls = 0.7;
 
-/// What waits for one failure domain, and how fast it is done there.
+/// Waiting pieces of one failure domain, and its capacity.
 struct DomainBacklog {
-  double Upstreams = 0;   ///< In use, slow ones counting less.
+  double Upstreams = 0;   ///< Usable; slow ones count less.
   TimePoint NextFree{};   ///< When the first of them is free.
-  double PiecesAhead = 0; ///< Of the jobs looked at so far.
+  double PiecesAhead = 0; ///< Of the jobs placed so far.
 };
 using DomainBacklogs = std::map<std::string, DomainBacklog>;
 
-static DomainBacklogs backlogsOf(const BatchPool &P, TimePoint Now) {
+static DomainBacklogs backlogsByDomain(const BatchPool &P, TimePoint Now) {
   DomainBacklogs Out;
   double Full = toMs(batchCallTime(P.Spec, P.Spec.MaxPieces));
   for (const auto &[Start, U] : P.Upstreams) {
@@ -38,9 +38,9 @@
   return Out;
 }
 
-/// \return When pieces that wait behind those of \p Domain are done.
-static TimePoint doneIn(const BatchPool &P, const DomainBacklog &Domain,
-                        int Pieces) {
+/// \return When \p Pieces that wait behind those of \p Domain should complete.
+static TimePoint completionIn(const BatchPool &P, const DomainBacklog &Domain,
+                              int Pieces) {
   double Full = toMs(batchCallTime(P.Spec, P.Spec.MaxPieces));
   double CallsAhead = std::floor(Domain.PiecesAhead / P.Spec.MaxPieces);
   int Rest = static_cast<int>(Domain.PiecesAhead) % P.Spec.MaxPieces;
@@ -49,16 +49,16 @@
          batchCallTime(P.Spec, Mine) + CallOverhead;
 }
 
-std::vector<PlacedJob> batchPlaced(BatchPool &P, TimePoint Now) {
-  DomainBacklogs Domains = backlogsOf(P, Now);
+std::vector<PlacedJob> batchPlacements(BatchPool &P, TimePoint Now) {
+  DomainBacklogs Domains = backlogsByDomain(P, Now);
   double Upstreams = 0;
   for (const auto &[Name, Domain] : Domains)
     Upstreams += Domain.Upstreams;
   std::vector<PlacedJob> Out;
-  for (BatchJob *Job : batchWaiting(P, Now)) {
+  for (BatchJob *Job : batchWaitingJobs(P, Now)) {
     auto Own = Domains.find(Job->Request.Domain);
     if (Own != Domains.end()) {
-      Out.push_back({Job, doneIn(P, Own->second, Job->Waiting)});
+      Out.push_back({Job, completionIn(P, Own->second, Job->Waiting)});
       Own->second.PiecesAhead += Job->Waiting;
       continue;
     }
@@ -69,8 +69,8 @@
   return Out;
 }
 
-bool batchMayGoTo(const BatchPool &P, const PlacedJob &Placed,
-                  const BatchUpstream &U, TimePoint Now) {
+bool batchMayRunAt(const BatchPool &P, const PlacedJob &Placed,
+                   const BatchUpstream &U, TimePoint Now) {
   const BatchJob &Job = *Placed.Job;
   if (!Placed.DoneInDomain || Job.Request.Domain == U.Entry.FailureDomain)
     return true;
--- a/src/batch_relay.cpp
+++ b/src/batch_relay.cpp
@@ -1,4 +1,5 @@
-/// \file batch_relay.cpp Asks for pieces of work, here or at another node.
+/// \file batch_relay.cpp Sends batch requests to the coordinators of their
+/// pools.
 #include "batch_relay.h"
 
 #include "batch_coordinator.h"
@@ -9,31 +10,32 @@
 
 namespace fulmar {
 
-/// Between two looks at what has to be sent again.
+/// Interval of checks for resends.
 static constexpr Duration TickPeriod = std::chrono::milliseconds(20);
-/// What a node is done with is told together within this time. It is short: the
-/// space of results that are not needed bounds the next calls.
+/// Releases are sent together within this time. It is short: the space of
+/// results that are not needed limits the next calls.
 static constexpr Duration ReleaseDelay = std::chrono::milliseconds(4);
-/// An ask that nobody acknowledged is sent again after this time: several round
-/// trips between failure domains (2 to 3 ms), and a pause of a node whose share
-/// of a processor is used up (up to 75 ms) costs one repeat only.
+/// A request that was not acknowledged is sent again after this time: it covers
+/// several round trips between failure domains (2 to 3 ms), and a pause of a
+/// node whose processor quota is used up (up to 75 ms) costs one repeat only.
 static constexpr Duration ResendAfter = std::chrono::milliseconds(60);
-/// Unanswered sends before another node is asked.
-static constexpr int SendsBeforeMove = 4;
-/// An acknowledged ask is asked about again after this time, in case its node
-/// ended or its result was lost.
-static constexpr Duration AskAgainAfter = std::chrono::milliseconds(300);
-/// What was said of a pool holds for this long: a node of a large fleet asks
-/// each pool about once a second, and older news beats what ended requests
-/// took. After that a request is let in to find out.
-static constexpr Duration ViewLife = std::chrono::milliseconds(1500);
-/// An ask is held for this long by a node that does not know the others yet.
-/// It usually does a fraction of a second after its start, and somewhat later
-/// when a call to the key-value service has to be repeated.
-static constexpr Duration MostHold = std::chrono::milliseconds(600);
-/// A silent node is not asked for this long.
-static constexpr Duration SilentTime = std::chrono::seconds(2);
-/// Results are kept for a node that did not acknowledge them.
+/// Unacknowledged sends before a request goes to another node.
+static constexpr int SendsBeforeReassign = 4;
+/// An acknowledged request is sent again after this time, in case its
+/// coordinator ended or its result was lost.
+static constexpr Duration ResendPendingAfter = std::chrono::milliseconds(300);
+/// How long a forecast is used: a node of a large fleet sends each pool a
+/// request about once a second, and a forecast up to this age is better than
+/// the durations of completed requests. After that a request is accepted to
+/// obtain a new one.
+static constexpr Duration ForecastLife = std::chrono::milliseconds(1500);
+/// Longest time that a node holds a request while it does not know the other
+/// members. It usually learns them a fraction of a second after its start, and
+/// somewhat later when a call to the key-value service has to be repeated.
+static constexpr Duration MaxHoldTime = std::chrono::milliseconds(600);
+/// How long an unresponsive node is avoided.
+static constexpr Duration UnresponsiveTime = std::chrono::seconds(2);
+/// How long a result is kept for a node that does not acknowledge it.
 static constexpr Duration ResultLife = std::chrono::seconds(3);
 static constexpr int MaxResultSends = 6;
 
@@ -62,33 +64,35 @@
                             const BatchRequest &Request, DoneFn Done,
                             ReadFn Read) {
   BatchTicket Ticket{++LastTicket};
-  OwnRequest &Mine = Own[Ticket];
+  OwnRequest &Mine = OwnRequests[Ticket];
   Mine.Service = Pool;
   Mine.Pool = partFor(Pool, Request.RequestId);
   Mine.Request = Request;
   Mine.Asked = Timers->now();
   Mine.Done = std::move(Done);
   Mine.Read = std::move(Read);
-  place(Ticket);
+  dispatch(Ticket);
   return Ticket;
 }
 
-/// Gives an ask to the node that forms its pool's calls. A node that has just
-/// started does not know the others yet, and would take that duty for its own;
-/// it holds the ask for a moment. Else after a restart of the fleet each node
-/// sends calls of one piece, which take nearly as long as full ones, and other
-/// nodes' calls find the upstreams full.
-void BatchRelay::place(BatchTicket Ticket) {
-  OwnRequest &Mine = Own.at(Ticket);
-  Mine.Held = !Members->settled() && Timers->now() - Mine.Asked < MostHold;
+/// Sends a batch request to the coordinator of its pool. A node that has just
+/// started does not know the other members, and would choose itself as
+/// coordinator, so it holds the request for a moment. Otherwise, after a
+/// restart of the fleet, each node would send calls of one piece, which take
+/// nearly as long as full ones, and the calls of other nodes would find the
+/// upstreams full.
+void BatchRelay::dispatch(BatchTicket Ticket) {
+  OwnRequest &Mine = OwnRequests.at(Ticket);
+  Mine.Held = !Members->settled() && Timers->now() - Mine.Asked < MaxHoldTime;
   if (Mine.Held)
     return;
-  std::set<std::string> Left;
-  for (const auto &[Node, Until] : Silent) {
+  std::set<std::string> Avoided;
+  for (const auto &[Node, Until] : Unresponsive) {
     if (Until > Timers->now())
-      Left.insert(Node);
+      Avoided.insert(Node);
   }
-  std::string Coordinator = batchCoordinator(Members->state(), Mine.Pool, Left);
+  std::string Coordinator =
+      batchCoordinator(Members->state(), Mine.Pool, Avoided);
   Mine.Unanswered = 0;
   if (Coordinator != Members->state().Self.Id) {
     ++Counts.Remote;
@@ -101,24 +105,25 @@
   Request.Due -= Timers->now() - Mine.Asked;
   Request.Deadline -= Timers->now() - Mine.Asked;
   if (auto Forecast = Pools->forecast(Mine.Pool, Request))
-    learn(Mine.Service, Request.Priority, *Forecast);
+    cacheForecast(Mine.Service, Request.Priority, *Forecast);
   Mine.Local = Pools->ask(
       Mine.Pool, Request,
       [this, Ticket](const BatchResult &Result) { ended(Ticket, Result); },
       [this, Ticket] { inputsRead(Ticket); });
 }
 
-void BatchRelay::learn(const std::string &Pool, int Priority,
-                       const BatchForecast &Forecast) {
-  // An ask that is asked about again is told of pools with itself in them.
+void BatchRelay::cacheForecast(const std::string &Pool, int Priority,
+                               const BatchForecast &Forecast) {
+  // The forecast for a request that is sent again includes the request itself.
   if (Forecast.OnTime > Duration::zero())
-    Views[{Pool, Priority}] = {Forecast, Timers->now()};
+    Forecasts[{Pool, Priority}] = {Forecast, Timers->now()};
 }
 
 std::optional<BatchForecast> BatchRelay::forecast(const std::string &Pool,
                                                   int Priority) const {
-  auto Found = Views.find({Pool, Priority});
-  if (Found == Views.end() || Timers->now() - Found->second.At > ViewLife)
+  auto Found = Forecasts.find({Pool, Priority});
+  if (Found == Forecasts.end() ||
+      Timers->now() - Found->second.At > ForecastLife)
     return std::nullopt;
   return Found->second.Forecast;
 }
@@ -133,17 +138,17 @@
 }
 
 void BatchRelay::ended(BatchTicket Ticket, const BatchResult &Result) {
-  auto Found = Own.find(Ticket);
-  if (Found == Own.end())
+  auto Found = OwnRequests.find(Ticket);
+  if (Found == OwnRequests.end())
     return;
   DoneFn Done = std::move(Found->second.Done);
-  Own.erase(Found);
+  OwnRequests.erase(Found);
   Done(Result);
 }
 
 void BatchRelay::inputsRead(BatchTicket Ticket) {
-  auto Found = Own.find(Ticket);
-  if (Found == Own.end() || !Found->second.Read)
+  auto Found = OwnRequests.find(Ticket);
+  if (Found == OwnRequests.end() || !Found->second.Read)
     return;
   ReadFn Read = std::move(Found->second.Read);
   Found->second.Read = nullptr;
@@ -151,20 +156,20 @@
 }
 
 void BatchRelay::cancel(BatchTicket Ticket) {
-  auto Found = Own.find(Ticket);
-  if (Found == Own.end())
+  auto Found = OwnRequests.find(Ticket);
+  if (Found == OwnRequests.end())
     return;
   OwnRequest Gone = std::move(Found->second);
-  Own.erase(Found);
+  OwnRequests.erase(Found);
   if (Gone.Coordinator.empty())
     return Pools->cancel(Gone.Local);
   release(Gone.Coordinator, "", {"", {}, {Ticket.Value}, {}});
 }
 
-/// \return The part of a pool that serves a request.
+/// \return The name of the part of a pool that serves a request.
 std::string BatchRelay::partFor(const std::string &Pool,
                                 const std::string &RequestId) const {
-  return batchPartName(Pool, batchPartOf(RequestId, Pools->size(Pool)));
+  return batchPartName(Pool, batchPartFor(RequestId, Pools->size(Pool)));
 }
 
 void BatchRelay::free(const std::string &Service, const std::string &RequestId,
@@ -178,7 +183,7 @@
   release(Coordinator, Pool, {Pool, {}, {}, Handles});
 }
 
-/// Adds to what a node will be told in a moment.
+/// Queues releases for a node; they are sent together.
 void BatchRelay::release(const std::string &Node, const std::string &Pool,
                          const BatchReleaseMessage &Part) {
   BatchReleaseMessage &Whole = Releases[{Node, Pool}];
@@ -189,14 +194,14 @@
   Append(Whole.Taken, Part.Taken);
   Append(Whole.Cancelled, Part.Cancelled);
   Append(Whole.Freed, Part.Freed);
-  if (ReleasePlanned)
+  if (ReleaseScheduled)
     return;
-  ReleasePlanned = true;
+  ReleaseScheduled = true;
   Timers->after(ReleaseDelay, [this] { flushReleases(); });
 }
 
 void BatchRelay::flushReleases() {
-  ReleasePlanned = false;
+  ReleaseScheduled = false;
   for (auto &[Key, Message] : Releases)
     Peers->sendTo(Key.first, std::move(Message));
   Releases.clear();
@@ -205,24 +210,24 @@
 void BatchRelay::answered(const std::string &Node,
                           const BatchAnswerMessage &Message) {
   BatchTicket Ticket{Message.Ticket};
-  auto Found = Own.find(Ticket);
-  if (Found == Own.end() || Found->second.Coordinator != Node) {
-    // Cancelled, or done by another node meanwhile: nobody wants the result.
+  auto Found = OwnRequests.find(Ticket);
+  if (Found == OwnRequests.end() || Found->second.Coordinator != Node) {
+    // Cancelled, or served by another node meanwhile: the result is unused.
     if (!Message.Pending)
       release(Node, "", {"", {}, {Message.Ticket}, {}});
     return;
   }
   if (!Message.Pending)
     release(Node, "", {"", {Message.Ticket}, {}, {}});
-  Silent.erase(Node);
+  Unresponsive.erase(Node);
   if (!Message.Pending)
     return ended(Ticket, Message.Result);
   Found->second.Unanswered = 0;
   if (Message.InputsRead)
     return inputsRead(Ticket);
-  learn(Found->second.Service, Found->second.Request.Priority,
-        Message.Forecast);
-  Found->second.NextSend = Timers->now() + AskAgainAfter;
+  cacheForecast(Found->second.Service, Found->second.Request.Priority,
+                Message.Forecast);
+  Found->second.NextSend = Timers->now() + ResendPendingAfter;
 }
 
 void BatchRelay::serve(const std::string &Node,
@@ -253,7 +258,8 @@
         sendResult(Key, Ended->second);
       },
       [this, Key] {
-        // Lost now and then: the inputs' space is free a call's time later.
+        // If this message is lost, the inputs' space is freed one call duration
+        // later.
         BatchAnswerMessage Read;
         Read.Ticket = Key.second;
         Read.Pending = true;
@@ -289,17 +295,17 @@
 void BatchRelay::tick() {
   TimePoint Now = Timers->now();
   std::vector<BatchTicket> Due;
-  for (const auto &[Ticket, Mine] : Own) {
+  for (const auto &[Ticket, Mine] : OwnRequests) {
     if (Mine.Held || (!Mine.Coordinator.empty() && Mine.NextSend <= Now))
       Due.push_back(Ticket);
   }
   for (BatchTicket Ticket : Due) {
-    OwnRequest &Mine = Own.at(Ticket);
+    OwnRequest &Mine = OwnRequests.at(Ticket);
     if (Mine.Held) {
-      place(Ticket);
+      dispatch(Ticket);
       continue;
     }
-    if (Mine.Unanswered < SendsBeforeMove) {
+    if (Mine.Unanswered < SendsBeforeReassign) {
       send(Ticket, Mine);
       continue;
     }
@@ -308,9 +314,9 @@
               {"pool", Mine.Pool},
               {"id", Mine.Request.RequestId},
               {"sends", Mine.Unanswered}});
-    Silent[Mine.Coordinator] = Now + SilentTime;
-    ++Counts.Moved;
-    place(Ticket);
+    Unresponsive[Mine.Coordinator] = Now + UnresponsiveTime;
+    ++Counts.Reassigned;
+    dispatch(Ticket);
   }
   for (auto It = Served.begin(); It != Served.end();) {
     ServedRequest &Ended = It->second;
@@ -322,10 +328,10 @@
   }
 }
 
-/// Asks at nodes that are gone are placed anew at once.
+/// Sends batch requests again at once whose coordinator is gone.
 void BatchRelay::membersChanged() {
   std::vector<BatchTicket> Lost;
-  for (const auto &[Ticket, Mine] : Own) {
+  for (const auto &[Ticket, Mine] : OwnRequests) {
     if (Mine.Coordinator.empty())
       continue;
     const MemberInfo *Info = Members->info(Mine.Coordinator);
@@ -333,8 +339,8 @@
       Lost.push_back(Ticket);
   }
   for (BatchTicket Ticket : Lost) {
-    ++Counts.Moved;
-    place(Ticket);
+    ++Counts.Reassigned;
+    dispatch(Ticket);
   }
 }
 
--- a/src/batch_relay.h
+++ b/src/batch_relay.h
@@ -1,4 +1,4 @@
-/// \file batch_relay.h Asks for pieces of work, here or at another node.
+/// \file batch_relay.h Sends batch requests to the coordinators of their pools.
 #ifndef FULMARSTEP_BATCH_RELAY_H
 #define FULMARSTEP_BATCH_RELAY_H
 
@@ -11,85 +11,87 @@
 class PeerService;
 struct PeerMessage;
 
-/// Counts for operators.
+/// Counters for metrics.
 struct RelayCounts {
-  std::uint64_t Local = 0;  ///< Asks served by this node's own pools.
-  std::uint64_t Remote = 0; ///< Asks sent to another node.
-  std::uint64_t Moved = 0;  ///< Asks sent to a second node.
-  std::uint64_t Served = 0; ///< Asks of other nodes.
+  std::uint64_t Local = 0;  ///< Batch requests served by this node's own pools.
+  std::uint64_t Remote = 0; ///< Batch requests sent to another node.
+  std::uint64_t Reassigned = 0; ///< Batch requests sent to a second node.
+  std::uint64_t Served = 0;     ///< Batch requests of other nodes.
 };
 
-/// Asks the node that forms a pool's calls, and serves the asks of others.
+/// Submits batch requests to the coordinators of their pools, and serves those
+/// of other nodes.
 class BatchRelay : public Service {
 public:
   using DoneFn = BatchService::DoneFn;
   using ReadFn = BatchService::ReadFn;
 
-  /// \param Seed differs at each start. Names of asks are counted from it on:
-  /// other nodes go on with what this host's earlier process asked for, and
-  /// would take a new ask under the same name for a repeat. Its request would
-  /// be given another one's results.
+  /// \param Seed differs at each start. Tickets are counted from a random
+  /// number derived from it: other nodes still work on requests of this host's
+  /// earlier process, and would take a new request with the same ticket for a
+  /// repeat. It would be given the results of another request.
   BatchRelay(Kernel &K, std::uint64_t Seed)
       : Services(K), LastTicket(Random(Seed)()) {}
 
   void start() override;
 
-  /// Asks for pieces. \p Done is called once, not before this returns.
-  /// \param Read is called if the inputs are read before that.
+  /// Submits a batch request. \p Done is called once, not before this returns.
+  /// \param Read is called if the inputs have been read before that.
   BatchTicket ask(const std::string &Pool, const BatchRequest &Request,
                   DoneFn Done, ReadFn Read);
-  /// Nobody waits for these pieces any more; \p Done is not called.
+  /// Cancels a batch request; \p Done is not called.
   void cancel(BatchTicket Ticket);
-  /// Results that \p Service made for a request are not needed any more.
+  /// Frees results that \p Service made for a request and that are not needed
+  /// any more.
   void free(const std::string &Service, const std::string &RequestId,
             const std::vector<std::string> &Handles);
 
-  /// \return What pieces of a pool take now at this priority, as far as the
-  /// latest asks of this node told; nothing when that is long ago.
+  /// \return The latest forecast of a pool at this priority that this node was
+  /// sent; nothing when it is stale.
   std::optional<BatchForecast> forecast(const std::string &Pool,
                                         int Priority) const;
 
-  /// \return Counts so far.
+  /// \return The counters.
   const RelayCounts &counts() const { return Counts; }
 
 private:
-  /// An ask of this node.
+  /// A batch request of this node.
   struct OwnRequest {
-    std::string Service;     ///< Which pool.
-    std::string Pool;        ///< Which part of it.
-    BatchRequest Request;    ///< What is asked.
-    TimePoint Asked{};       ///< When; its times count from then.
-    DoneFn Done;             ///< Hears the result.
-    ReadFn Read;             ///< Hears that the inputs were read.
-    std::string Coordinator; ///< The node asked; empty: this one.
-    BatchTicket Local;       ///< Name at this node's own pools.
-    TimePoint NextSend{};    ///< When to ask again.
-    bool Held = false;       ///< Until this node knows the others.
-    int Unanswered = 0;      ///< Sends in a row that nobody answered.
+    std::string Service; ///< Name of the pool.
+    std::string Pool;    ///< Name of its part.
+    BatchRequest Request;
+    TimePoint Asked{}; ///< Submitted; the times in Request count from then.
+    DoneFn Done;       ///< Called with the result.
+    ReadFn Read;       ///< Called when the inputs have been read.
+    std::string Coordinator; ///< Node that serves it; empty: this one.
+    BatchTicket Local;       ///< Ticket at this node's own pools.
+    TimePoint NextSend{};    ///< When to send it again.
+    bool Held = false;       ///< Until this node knows the other members.
+    int Unanswered = 0;      ///< Consecutive sends without a response.
   };
-  /// An ask of another node.
+  /// A batch request of another node.
   struct ServedRequest {
-    std::string Pool;     ///< Which pool.
-    BatchTicket Local;    ///< Name at this node's own pools; 0: ended.
+    std::string Pool;     ///< Name of the part of its pool.
+    BatchTicket Local;    ///< Ticket at this node's own pools; 0: ended.
     BatchResult Result;   ///< Once it has ended.
-    TimePoint ForgetAt{}; ///< Once it has ended.
+    TimePoint ForgetAt{}; ///< Once it has ended: when it is removed.
     TimePoint NextSend{}; ///< When to send the result again.
-    int Sends = 0;        ///< Times that the result was sent.
+    int Sends = 0;        ///< Number of sends of the result.
   };
   using ServedKey = std::pair<std::string, std::uint64_t>; ///< Node, ticket.
 
-  /// What an ask was told about its pool.
-  struct PoolView {
-    BatchForecast Forecast; ///< What pieces take.
-    TimePoint At{};         ///< When that was said.
+  /// The latest forecast that a pool's coordinator sent.
+  struct CachedForecast {
+    BatchForecast Forecast;
+    TimePoint At{}; ///< When it was received.
   };
 
   std::string partFor(const std::string &Pool,
                       const std::string &RequestId) const;
-  void place(BatchTicket Ticket);
-  void learn(const std::string &Pool, int Priority,
-             const BatchForecast &Forecast);
-  void send(BatchTicket Ticket, OwnRequest &Own);
+  void dispatch(BatchTicket Ticket);
+  void cacheForecast(const std::string &Pool, int Priority,
+                     const BatchForecast &Forecast);
+  void send(BatchTicket Ticket, OwnRequest &Mine);
   void ended(BatchTicket Ticket, const BatchResult &Result);
   void inputsRead(BatchTicket Ticket);
   void serve(const std::string &Node, const BatchRequestMessage &Message);
@@ -102,20 +104,21 @@
   void tick();
   void membersChanged();
 
-  Kernel &Services;                          ///< Finds the others.
-  TimerService *Timers = nullptr;            ///< Time.
-  BatchService *Pools = nullptr;             ///< This node's own pools.
-  MemberService *Members = nullptr;          ///< The other nodes.
-  PeerService *Peers = nullptr;              ///< Carries messages.
-  std::map<BatchTicket, OwnRequest> Own;     ///< In progress.
-  std::map<ServedKey, ServedRequest> Served; ///< In progress or just ended.
-  std::map<std::string, TimePoint> Silent;   ///< Nodes left out until then.
+  Kernel &Services; ///< Looks up other services.
+  TimerService *Timers = nullptr;
+  BatchService *Pools = nullptr;    ///< Pools that this node coordinates.
+  MemberService *Members = nullptr; ///< Membership view.
+  PeerService *Peers = nullptr;     ///< Sends messages to other nodes.
+  std::map<BatchTicket, OwnRequest> OwnRequests; ///< By ticket.
+  std::map<ServedKey, ServedRequest> Served;     ///< In progress or just ended.
+  std::map<std::string, TimePoint> Unresponsive; ///< Avoided until then.
   std::map<std::pair<std::string, std::string>, BatchReleaseMessage>
       Releases; ///< To be sent, by node and pool.
-  std::map<std::pair<std::string, int>, PoolView> Views; ///< By priority too.
-  bool ReleasePlanned = false; ///< flushReleases will run.
-  std::uint64_t LastTicket;    ///< Counts asks.
-  RelayCounts Counts;          ///< For operators.
+  std::map<std::pair<std::string, int>, CachedForecast>
+      Forecasts;                 ///< By pool and priority.
+  bool ReleaseScheduled = false; ///< flushReleases() is scheduled.
+  std::uint64_t LastTicket;      ///< Last ticket assigned.
+  RelayCounts Counts;
 };
 
 } // namespace fulmar
--- a/src/batch_send.cpp
+++ b/src/batch_send.cpp
@@ -1,4 +1,4 @@
-/// \file batch_send.cpp Putting calls together and giving them to upstreams.
+/// \file batch_send.cpp Assembling calls and sending them to upstreams.
 #include "batch_internal.h"
 
 #include <algorithm>
@@ -6,60 +6,61 @@
 
 namespace fulmar {
 
-/// A call is given up at this many times the expected time, and not before
-/// the least: an upstream that is slow by a factor of eight still answers.
-static constexpr double GiveUpFactor = 8;
-static constexpr Duration GiveUpLeast = std::chrono::milliseconds(1500);
-/// Sizes of results are approximate; this part of an upstream's space is left
-/// for those that are larger.
-static constexpr double RoomShare = 0.92;
+/// The timeout of a call is this many times its expected duration, and not less
+/// than the minimum: an upstream that is slow by a factor of eight still
+/// responds.
+static constexpr double TimeoutFactor = 8;
+static constexpr Duration MinCallTimeout = std::chrono::milliseconds(1500);
+/// Sizes of results are approximate; the rest of an upstream's space is
+/// reserved for larger ones.
+static constexpr double UsableSpaceShare = 0.92;
 
-/// Calls of a pool begin this many times as far apart as its upstreams would
-/// end them in turn. Without it upstreams that happen to be free together are
-/// given calls together, are free together again, and all pieces in between
-/// wait for that (test "calls begin one after the other").
-static constexpr double PaceFactor = 1.1;
-/// With more than this part of the upstreams free, nothing waits for long
-/// anyway.
-static constexpr double PacedFree = 0.5;
+/// Interval between calls of a pool, relative to the interval at which its
+/// upstreams would complete them in turn. Without it upstreams that happen to
+/// be free together get calls together, are free together again, and all pieces
+/// in between wait for that (test "calls begin one after the other").
+static constexpr double CallIntervalFactor = 1.1;
+/// Calls are not paced while more than this share of the upstreams is free,
+/// since nothing waits for long then.
+static constexpr double UnpacedFreeShare = 0.5;
 
-/// An upstream that said a call ago that it has nothing else to do most likely
-/// still has not. Longer than a full call takes.
-static constexpr Duration HeardLately = std::chrono::milliseconds(1500);
+/// How long a load report holds: an upstream that had no other calls then most
+/// likely still has none. Longer than a full call takes.
+static constexpr Duration LoadReportLife = std::chrono::milliseconds(1500);
 
-/// Weight of the newest call in the pieces that a call carries.
-static constexpr double FillGain = 0.1;
+/// Weight of the newest call in BatchPool::CallFill.
+static constexpr double FillWeight = 0.1;
 
-/// A call that is being put together.
+/// A call that is being assembled.
 struct CallDraft {
-  std::vector<BatchItem> Items; ///< Its pieces.
-  std::vector<double> Bytes;    ///< Space for each result.
-  int Most = 0;                 ///< Pieces at most.
-  bool AtOnce = false;          ///< It begins as soon as it comes.
-  bool Closed = false;          ///< It takes no other request's pieces.
-  double Room = 0;              ///< Space that is left, bytes.
+  std::vector<BatchItem> Items;   ///< Its pieces.
+  std::vector<double> Bytes;      ///< Space reserved for each result.
+  int MaxItems = 0;               ///< Limit on pieces.
+  bool StartsImmediately = false; ///< The upstream will start it on arrival.
+  bool Closed = false;            ///< It takes no pieces of other requests.
+  double SpaceLeft = 0;           ///< Space left for results, bytes.
 };
 
-/// A request goes alone after so many calls broke off under it. All requests of
-/// a call are suspects when its upstream ends; put together again each time,
-/// they would be quarantined together.
+/// A request is sent alone after this many upstream crashes during its calls.
+/// All requests in a call are suspects when its upstream crashes; if they were
+/// combined again each time, they would be quarantined together.
 static constexpr int CrashesToIsolate = 2;
 
-/// Moves the waiting pieces of a job into a call, while there is room.
+/// Moves waiting pieces of a job into a call, as far as it has space.
 static void takePieces(BatchPool &P, BatchJob &Job, CallDraft &Call,
                        TimePoint Now) {
   bool Alone = Job.Crashes >= CrashesToIsolate;
   if (Call.Closed || (Alone && !Call.Items.empty()))
     return;
-  bool OnTime = Job.Due >= batchOnTimeFrom(P, Now);
+  bool OnTime = Job.Due >= batchOnTimeThreshold(P, Now);
   for (std::size_t I = 0; I < Job.Pieces.size(); ++I) {
     BatchPiece &Piece = Job.Pieces[I];
     if (Piece.State != PieceState::Waiting)
       continue;
-    if (static_cast<int>(Call.Items.size()) >= Call.Most ||
-        Job.Request.ResultBytes > Call.Room)
+    if (static_cast<int>(Call.Items.size()) >= Call.MaxItems ||
+        Job.Request.ResultBytes > Call.SpaceLeft)
       return;
-    Call.Room -= Job.Request.ResultBytes;
+    Call.SpaceLeft -= Job.Request.ResultBytes;
     if (Piece.Tries++ > 0) {
       retryWindowRepeat(P.Repeats, Now);
       ++P.Counts.Repeats;
@@ -72,7 +73,7 @@
     --Job.Waiting;
     Job.Ran = true;
     Job.StartedAt = Now;
-    Job.AtOnce = Job.AtOnce && Call.AtOnce;
+    Job.StartsImmediately = Job.StartsImmediately && Call.StartsImmediately;
     BatchItem Item;
     Item.Request = Job.Id;
     Item.RequestId = Job.Request.RequestId;
@@ -88,8 +89,8 @@
   }
 }
 
-/// Fills a call for \p U: first with what is best made in its failure domain or
-/// may be made anywhere, then with what cannot wait for its own.
+/// Fills a call for \p U: first with pieces that prefer its failure domain or
+/// none, then with those that cannot wait for their own.
 static void fillCall(BatchPool &P, const std::vector<PlacedJob> &Order,
                      const BatchUpstream &U, CallDraft &Call, TimePoint Now) {
   for (const PlacedJob &Placed : Order) {
@@ -98,23 +99,23 @@
       takePieces(P, *Placed.Job, Call, Now);
   }
   for (const PlacedJob &Placed : Order) {
-    if (batchMayGoTo(P, Placed, U, Now))
+    if (batchMayRunAt(P, Placed, U, Now))
       takePieces(P, *Placed.Job, Call, Now);
   }
 }
 
-/// \return Waiting pieces that may be made at \p U.
+/// \return Waiting pieces that may be sent to \p U.
 static int piecesFor(const BatchPool &P, const std::vector<PlacedJob> &Order,
                      const BatchUpstream &U, TimePoint Now) {
   int Pieces = 0;
   for (const PlacedJob &Placed : Order) {
-    if (batchMayGoTo(P, Placed, U, Now))
+    if (batchMayRunAt(P, Placed, U, Now))
       Pieces += Placed.Job->Waiting;
   }
   return Pieces;
 }
 
-/// Sends pieces to an upstream.
+/// Sends a call to an upstream.
 static void sendCall(BatchPool &P, BatchUpstream &U,
                      std::vector<BatchItem> Items, std::vector<double> Bytes,
                      TimePoint Now, BatchActions &Out) {
@@ -139,13 +140,14 @@
   Send.Upstream = Call.Upstream;
   Send.Items = std::move(Items);
   Send.RoomUsed = U.RoomUsed;
-  Send.Timeout = std::max(
-      GiveUpLeast, fromMs(toMs(batchCallTime(P.Spec, Size)) * GiveUpFactor));
+  Send.Timeout =
+      std::max(MinCallTimeout,
+               fromMs(toMs(batchCallTime(P.Spec, Size)) * TimeoutFactor));
   Out.push_back(std::move(Send));
 }
 
-/// \return Whether pieces would rather wait for a busy upstream than go to
-/// \p U now: it is so slow that another ends them earlier.
+/// \return Whether pieces should wait for a busy upstream because \p U is so
+/// slow that the other completes them earlier.
 static bool betterToWait(const BatchPool &P, const BatchUpstream &U, int Pieces,
                          TimePoint Now) {
   TimePoint Here = Now + batchExpectedAt(P, U, Pieces);
@@ -161,14 +163,15 @@
   return false;
 }
 
-/// \return Whether a call to an idle upstream begins as soon as it comes: no
-/// other node gives it calls.
-static bool beginsAtOnce(const BatchUpstream &U, TimePoint Now) {
-  return U.Others == 0 && U.HeardAt > TimePoint{} &&
-         Now - U.HeardAt < HeardLately;
+/// \return Whether an idle upstream will start a call on arrival: no other node
+/// sends it calls.
+static bool startsImmediately(const BatchUpstream &U, TimePoint Now) {
+  return U.OtherNodeCalls == 0 && U.LastResponseAt > TimePoint{} &&
+         Now - U.LastResponseAt < LoadReportLife;
 }
 
-/// \return Idle upstreams: those that other nodes use last, the quickest first.
+/// \return Idle upstreams, sorted by calls of other nodes, then the fastest
+/// first.
 static std::vector<BatchUpstream *> idleUpstreams(BatchPool &P, TimePoint Now) {
   std::vector<BatchUpstream *> Idle;
   for (auto &[Start, U] : P.Upstreams) {
@@ -178,13 +181,14 @@
   }
   std::stable_sort(Idle.begin(), Idle.end(),
                    [](const BatchUpstream *A, const BatchUpstream *B) {
-                     return A->Others != B->Others ? A->Others < B->Others
-                                                   : A->Slowness < B->Slowness;
+                     return A->OtherNodeCalls != B->OtherNodeCalls
+                                ? A->OtherNodeCalls < B->OtherNodeCalls
+                                : A->Slowness < B->Slowness;
                    });
   return Idle;
 }
 
-/// \return How many upstreams may be given calls.
+/// \return The number of usable upstreams.
 static std::size_t usableUpstreams(const BatchPool &P, TimePoint Now) {
   auto Usable = [Now](const auto &Item) {
     return batchUsable(Item.second, Now);
@@ -196,46 +200,48 @@
 /// \return Whether so many upstreams are free that nothing waits for long.
 static bool manyFree(const BatchPool &P, std::size_t Free, TimePoint Now) {
   return static_cast<double>(Free) >
-         static_cast<double>(usableUpstreams(P, Now)) * PacedFree;
+         static_cast<double>(usableUpstreams(P, Now)) * UnpacedFreeShare;
 }
 
-/// \return When the next call may begin, with \p Waiting pieces for it.
+/// \return When the next call may start if it carries \p Waiting pieces.
 static TimePoint nextCall(const BatchPool &P, int Waiting, TimePoint Now) {
   if (Waiting >= P.Spec.MaxPieces)
     return Now;
   double Places = static_cast<double>(usableUpstreams(P, Now)) * P.Spec.Slots;
-  return P.LastSent +
-         fromMs(toMs(batchCallTime(P.Spec, Waiting)) / Places * PaceFactor);
+  return P.LastSent + fromMs(toMs(batchCallTime(P.Spec, Waiting)) / Places *
+                             CallIntervalFactor);
 }
 
-/// \return Pieces for one call at most, with \p Waiting of them for \p Free
-/// upstreams. A call costs as much as many pieces: with upstreams to spare,
-/// pieces are spread over them, but never into calls of less than half.
+/// \return Limit on pieces in one call, with \p Waiting pieces for \p Free
+/// upstreams. The fixed cost of a call equals that of many pieces: with
+/// upstreams to spare, pieces are spread over them, but never into calls of
+/// less than half.
 static int callSize(const BatchPool &P, int Waiting, std::size_t Free) {
   int Share =
       static_cast<int>((static_cast<std::size_t>(Waiting) + Free - 1) / Free);
   return std::clamp(Share, std::max(1, P.Spec.MaxPieces / 2), P.Spec.MaxPieces);
 }
 
-/// Learns how many pieces a call carries while more of them wait than it could.
-/// Space for results bounds it: results lie until the next stage has read them,
-/// so behind a pool that is full the one before it sends calls of a half. If it
-/// told the times of full calls, requests would be let in that wait in vain
-/// (test "the next stage is behind, and results lie").
+/// Updates the number of pieces that a call carries while more of them wait
+/// than it can take. Space for results limits it: results are stored until the
+/// next stage has read them, so the pool before a full one sends calls that are
+/// half full. If its estimates assumed full calls, it would accept requests
+/// that then wait in vain (test "results wait for a full next stage").
 static void learnFill(BatchPool &P, int Waiting, std::size_t Size) {
   if (Waiting < P.Spec.MaxPieces)
     return;
   auto Newest = static_cast<double>(Size);
-  P.CallFill =
-      P.CallFill == 0 ? Newest : P.CallFill + (Newest - P.CallFill) * FillGain;
+  P.CallFill = P.CallFill == 0
+                   ? Newest
+                   : P.CallFill + (Newest - P.CallFill) * FillWeight;
 }
 
-void batchPump(BatchPool &P, TimePoint Now, BatchActions &Out) {
-  P.PumpAt = TimePoint{};
+void batchDispatch(BatchPool &P, TimePoint Now, BatchActions &Out) {
+  P.DispatchAt = TimePoint{};
   std::vector<BatchUpstream *> Idle = idleUpstreams(P, Now);
   if (Idle.empty())
     return;
-  std::vector<PlacedJob> Order = batchPlaced(P, Now);
+  std::vector<PlacedJob> Order = batchPlacements(P, Now);
   std::size_t Unused = Idle.size();
   for (BatchUpstream *U : Idle) {
     int Waiting = piecesFor(P, Order, *U, Now);
@@ -243,20 +249,20 @@
       --Unused;
       continue;
     }
-    int Most = P.Spec.MaxPieces;
+    int MaxItems = P.Spec.MaxPieces;
     if (manyFree(P, Unused, Now)) {
-      Most = callSize(P, Waiting, Unused);
+      MaxItems = callSize(P, Waiting, Unused);
     } else if (TimePoint Next = nextCall(P, Waiting, Now); Next > Now) {
-      P.PumpAt = Next;
+      P.DispatchAt = Next;
       return;
     }
     --Unused;
-    if (betterToWait(P, *U, std::min(Most, Waiting), Now))
+    if (betterToWait(P, *U, std::min(MaxItems, Waiting), Now))
       continue;
     CallDraft Call;
-    Call.Most = Most;
-    Call.AtOnce = beginsAtOnce(*U, Now);
-    Call.Room = P.Spec.RoomBytes * RoomShare - U->RoomUsed;
+    Call.MaxItems = MaxItems;
+    Call.StartsImmediately = startsImmediately(*U, Now);
+    Call.SpaceLeft = P.Spec.RoomBytes * UsableSpaceShare - U->RoomUsed;
     fillCall(P, Order, *U, Call, Now);
     if (Call.Items.empty())
       continue;
--- a/src/batch_service.cpp
+++ b/src/batch_service.cpp
@@ -1,5 +1,5 @@
-/// \file batch_service.cpp Has pieces of work done by pools that work on
-/// batches.
+/// \file batch_service.cpp Batch requests for the pools that this node
+/// coordinates.
 #include "batch_service.h"
 
 #include <algorithm>
@@ -15,14 +15,14 @@
 
 namespace fulmar {
 
-/// Results are given back together within this time. It is short against the
-/// time of a call, so that the space is there for the next one.
+/// Frees are sent together within this time. It is short against the duration
+/// of a call, so that the space is available for the next one.
 static constexpr Duration FreeDelay = std::chrono::milliseconds(25);
 static constexpr Duration FreeTimeout = std::chrono::seconds(2);
 
-/// Nodes that form calls for one part at most, while they differ about who
-/// does. The others repeat nothing there, and have no share in what may be
-/// repeated.
+/// Most nodes that form calls for one part while they disagree about its
+/// coordinator. The others repeat nothing there, and have no share in the retry
+/// allowance.
 static constexpr double NodesPerPart = 2;
 
 BatchService::BatchService(Kernel &K, const WireFormat &W)
@@ -39,9 +39,9 @@
   Timers->every(BatchTickPeriod, [this] { tick(); });
 }
 
-/// Parts without work are left alone: a large pool has hundreds.
+/// Parts without work are skipped: a large pool has hundreds.
 void BatchService::tick() {
-  for (const std::string &Name : std::exchange(Busy, {})) {
+  for (const std::string &Name : std::exchange(ActiveParts, {})) {
     BatchPool &P = Pools.at(Name);
     BatchActions Out;
     batchTick(P, Timers->now(), Out);
@@ -95,7 +95,7 @@
     }
   }
   for (auto &[Name, P] : Pools) {
-    if (Changed.count(batchPartCalled(Name).Pool))
+    if (Changed.count(parseBatchPart(Name).Pool))
       updatePart(P);
   }
 }
@@ -103,22 +103,22 @@
 void BatchService::share(const RetryAllowance &Whole) {
   Allowance = Whole;
   for (auto &[Name, P] : Pools)
-    setAllowance(P, size(batchPartCalled(Name).Pool));
+    setAllowance(P, size(parseBatchPart(Name).Pool));
 }
 
 void BatchService::setAllowance(BatchPool &P, std::size_t Upstreams) const {
   P.Allowance = Allowance;
-  P.Allowance.Extra /= static_cast<double>(batchParts(Upstreams));
+  P.Allowance.Extra /= static_cast<double>(batchPartCount(Upstreams));
   P.Allowance.Nodes = NodesPerPart;
 }
 
-/// \return A part of a pool. It is made when it is first asked for: most nodes
-/// of a large fleet form the calls of none.
+/// \return A part of a pool. It is created on first use: most nodes of a large
+/// fleet coordinate none.
 BatchPool *BatchService::find(const std::string &Part) {
   auto Found = Pools.find(Part);
   if (Found != Pools.end())
     return &Found->second;
-  auto Listed = Listings.find(batchPartCalled(Part).Pool);
+  auto Listed = Listings.find(parseBatchPart(Part).Pool);
   if (Listed == Listings.end())
     return nullptr;
   BatchPool &P = Pools[Part];
@@ -127,21 +127,22 @@
   return &P;
 }
 
-/// Brings one part of a pool up to date. A pool that has shrunk keeps its
-/// parts, for asks in progress are theirs.
+/// Updates one part of a pool. A pool that has shrunk keeps its parts, since
+/// they have batch requests in progress.
 void BatchService::updatePart(BatchPool &P) {
-  BatchPart Part = batchPartCalled(P.Name);
+  BatchPart Part = parseBatchPart(P.Name);
   const Listing &L = Listings.at(Part.Pool);
   P.Spec = L.Spec;
   setAllowance(P, L.All.size());
   BatchActions Out;
-  batchUpstreams(P, batchPartUpstreams(L.All, Part.Part), Timers->now(), Out);
+  batchSetUpstreams(P, batchPartUpstreams(L.All, Part.Part), Timers->now(),
+                    Out);
   setPaces(P);
   perform(P, Out);
 }
 
-/// Sets how often upstreams that name a limit get calls. One node forms all
-/// calls of a part.
+/// Sets the pace of calls to upstreams that name a rate limit. One node forms
+/// all calls of a part.
 void BatchService::setPaces(BatchPool &P) {
   for (auto &[Start, U] : P.Upstreams) {
     PaceTurns Turns;
@@ -227,8 +228,8 @@
       send(P, *Send);
     else if (const auto *Answer = std::get_if<AnswerBatchAction>(&Action))
       Tickets.answer({P.Name, Answer->Request}, Answer->Result,
-                     [this, Pool = P.Name](const BatchResult &Unwanted) {
-                       free(Pool, Unwanted.Handles);
+                     [this, Pool = P.Name](const BatchResult &Unclaimed) {
+                       free(Pool, Unclaimed.Handles);
                      });
     else if (const auto *Read = std::get_if<InputsReadAction>(&Action))
       Tickets.inputsRead({P.Name, Read->Request});
@@ -236,35 +237,36 @@
       queueFree(std::get<FreeBatchAction>(Action).Handle);
   }
   if (!batchIdle(P))
-    Busy.insert(P.Name);
-  planPump(P);
+    ActiveParts.insert(P.Name);
+  scheduleDispatch(P);
 }
 
-/// Sees that a pool that holds pieces back sends them when it may.
-void BatchService::planPump(const BatchPool &P) {
-  if (P.PumpAt == TimePoint{} || !PumpPlanned.insert(P.Name).second)
+/// Schedules batchDispatch() for a pool that holds pieces back.
+void BatchService::scheduleDispatch(const BatchPool &P) {
+  if (P.DispatchAt == TimePoint{} || !ScheduledDispatches.insert(P.Name).second)
     return;
-  Timers->after(P.PumpAt - Timers->now(), [this, Name = P.Name] {
-    PumpPlanned.erase(Name);
+  Timers->after(P.DispatchAt - Timers->now(), [this, Name = P.Name] {
+    ScheduledDispatches.erase(Name);
     auto Found = Pools.find(Name);
     if (Found == Pools.end())
       return;
     BatchActions Out;
-    batchPump(Found->second, Timers->now(), Out);
+    batchDispatch(Found->second, Timers->now(), Out);
     perform(Found->second, Out);
   });
 }
 
-/// \return The requests whose pieces are in a call, each once.
+/// \return The fingerprints of the requests in a call, each once.
 static std::vector<Fingerprint>
-contentsOf(const std::vector<BatchItem> &Items) {
+fingerprintsOf(const std::vector<BatchItem> &Items) {
   std::set<Fingerprint> Contents;
   for (const BatchItem &Item : Items)
     Contents.insert(Item.Content);
   return {Contents.begin(), Contents.end()};
 }
 
-/// Tells what a call that has ended shows of the requests in it.
+/// Reports the end of a call to the quarantine: which requests were in it, and
+/// whether the upstream crashed.
 void BatchService::reportCall(const std::string &Address,
                               const std::vector<Fingerprint> &Contents,
                               const BatchCallResult &Result) {
@@ -277,7 +279,7 @@
 }
 
 void BatchService::send(BatchPool &P, const SendBatchAction &Send) {
-  // The call's results may need the space that these results take.
+  // The call's results may need the space that is being freed.
   sendFrees(Send.Address);
   if (logEnabled(LogLevel::Debug)) {
     int Waiting = 0;
@@ -299,7 +301,7 @@
   RateLimited->sent(Send.Upstream);
   On.OnDone = [this, Pool = P.Name, Id = Send.Call, Address = Send.Address,
                Upstream = Send.Upstream, Size = Send.Items.size(),
-               Contents = contentsOf(Send.Items),
+               Contents = fingerprintsOf(Send.Items),
                Started = Timers->now()](const HttpAnswer &Answer) {
     BatchCallResult Result = Wire.readBatch(Answer);
     Result.Crashed = httpBrokeOff(Answer);
@@ -332,29 +334,29 @@
 }
 
 void BatchService::queueFree(const std::string &Handle) {
-  Frees[Wire.handleAddress(Handle)].push_back(Handle);
-  if (FlushPlanned)
+  PendingFrees[Wire.handleAddress(Handle)].push_back(Handle);
+  if (FlushScheduled)
     return;
-  FlushPlanned = true;
+  FlushScheduled = true;
   Timers->after(FreeDelay, [this] { flushFrees(); });
 }
 
 void BatchService::flushFrees() {
-  FlushPlanned = false;
-  while (!Frees.empty())
-    sendFrees(std::string(Frees.begin()->first));
+  FlushScheduled = false;
+  while (!PendingFrees.empty())
+    sendFrees(std::string(PendingFrees.begin()->first));
 }
 
-/// Lets one upstream drop what was given back so far.
+/// Sends the pending frees of one upstream.
 void BatchService::sendFrees(const std::string &Address) {
-  auto Found = Frees.find(Address);
-  if (Found == Frees.end())
+  auto Found = PendingFrees.find(Address);
+  if (Found == PendingFrees.end())
     return;
   HttpCall Call = Wire.writeFree(Found->second);
-  Frees.erase(Found);
+  PendingFrees.erase(Found);
   Call.Address = Address;
   Call.Timeout = FreeTimeout;
-  // A free that is lost costs the space until the result expires by itself.
+  // If this call is lost, the space is freed when the results expire.
   Client->start(std::move(Call), HttpCallbacks());
 }
 
--- a/src/batch_service.h
+++ b/src/batch_service.h
@@ -1,4 +1,5 @@
-/// \file batch_service.h Has pieces of work done by pools that work on batches.
+/// \file batch_service.h Batch requests for the pools that this node
+/// coordinates.
 #ifndef FULMARSTEP_BATCH_SERVICE_H
 #define FULMARSTEP_BATCH_SERVICE_H
 
@@ -18,7 +19,8 @@
 class QuarantineService;
 class RateLimitService;
 
-/// Carries out the actions of the pools that this node forms calls for.
+/// Runs the pools that this node coordinates: sends their calls and carries out
+/// their other actions.
 class BatchService : public Service, public BatchBackend {
 public:
   BatchService(Kernel &K, const WireFormat &W);
@@ -33,25 +35,26 @@
   void free(const std::string &Pool,
             const std::vector<std::string> &Handles) override;
   std::size_t size(const std::string &Pool) const override;
-  /// Another version of the configuration, or other upstreams.
+  /// Applies another version of the configuration, or another upstream list.
   void update(const RouteTable &Table,
               const std::map<std::string, UpstreamEntry> &Listed,
               const RetryAllowance &Allowance);
-  /// Entries have changed.
+  /// Applies changed upstream entries.
   void change(const UpstreamChanges &Changes);
-  /// Another number of nodes shares what may be repeated.
+  /// Applies a new retry allowance, after the number of nodes changed.
   void share(const RetryAllowance &Allowance);
-  /// An upstream has started again; to be called before update() or change().
+  /// Handles the restart of an upstream; to be called before update() or
+  /// change().
   void restarted(const UpstreamRestart &Restart);
 
-  /// \return The parts of pools that were asked for work here, for metrics.
+  /// \return The pool parts that were used on this node, for metrics.
   const std::map<std::string, BatchPool> &pools() const { return Pools; }
 
 private:
-  /// A pool that works on batches.
+  /// A pool whose upstreams work on batches.
   struct Listing {
-    BatchSpec Spec;                 ///< What its upstreams can do.
-    std::vector<UpstreamEntry> All; ///< By failure domain and instance.
+    BatchSpec Spec;                 ///< Limits and call times of its upstreams.
+    std::vector<UpstreamEntry> All; ///< Sorted by failure domain and instance.
   };
 
   BatchPool *find(const std::string &Part);
@@ -64,26 +67,27 @@
                   const BatchCallResult &Result);
   void setPaces(BatchPool &P);
   void rateLimitChanged(const Incarnation &Start);
-  void planPump(const BatchPool &P);
+  void scheduleDispatch(const BatchPool &P);
   void queueFree(const std::string &Handle);
   void flushFrees();
   void sendFrees(const std::string &Address);
   void tick();
 
-  Kernel &Services;                         ///< Finds the others.
-  const WireFormat &Wire;                   ///< Writes calls.
-  TimerService *Timers = nullptr;           ///< Time.
-  HttpClient *Client = nullptr;             ///< Makes calls.
-  QuarantineService *Quarantined = nullptr; ///< Hears of upstreams that end.
-  RateLimitService *RateLimited = nullptr;  ///< Upstreams in need.
-  std::map<std::string, Listing> Listings;  ///< By pool.
-  std::map<std::string, BatchPool> Pools;   ///< Parts of them, by name.
-  std::set<std::string> Busy;               ///< Parts with work in progress.
-  RetryAllowance Allowance;                 ///< Of all pools.
-  BatchTickets Tickets;                     ///< Who waits.
-  std::map<std::string, std::vector<std::string>> Frees; ///< By address.
-  std::set<std::string> PumpPlanned; ///< Pools that will be pumped.
-  bool FlushPlanned = false;         ///< flushFrees will run.
+  Kernel &Services;       ///< Looks up other services.
+  const WireFormat &Wire; ///< Encodes and decodes calls.
+  TimerService *Timers = nullptr;
+  HttpClient *Client = nullptr;             ///< Sends calls.
+  QuarantineService *Quarantined = nullptr; ///< Told of crashes.
+  RateLimitService *RateLimited = nullptr; ///< Rate limits that upstreams name.
+  std::map<std::string, Listing> Listings; ///< By pool.
+  std::map<std::string, BatchPool> Pools;  ///< Pool parts, by name.
+  std::set<std::string> ActiveParts; ///< Pool parts with work in progress.
+  RetryAllowance Allowance;          ///< Retry allowance per pool.
+  BatchTickets Tickets;              ///< Callbacks of batch requests.
+  std::map<std::string, std::vector<std::string>>
+      PendingFrees; ///< Handles to free, by upstream address.
+  std::set<std::string> ScheduledDispatches; ///< Names of pool parts.
+  bool FlushScheduled = false;               ///< flushFrees() is scheduled.
 };
 
 } // namespace fulmar
--- a/src/batch_tickets.cpp
+++ b/src/batch_tickets.cpp
@@ -1,25 +1,25 @@
-/// \file batch_tickets.cpp Who waits for which ask.
+/// \file batch_tickets.cpp Callbacks of batch requests in progress.
 #include "batch_tickets.h"
 
 namespace fulmar {
 
-BatchTicket BatchTickets::add(const BatchRequestName &Name, DoneFn Done,
+BatchTicket BatchTickets::add(const BatchRequestKey &Key, DoneFn Done,
                               ReadFn Read) {
   BatchTicket Ticket{++LastTicket};
-  Waiters[Ticket] = {Name, std::move(Done), std::move(Read)};
-  if (Name.Request.Value != 0)
-    ByName[Name] = Ticket;
+  Waiters[Ticket] = {Key, std::move(Done), std::move(Read)};
+  if (Key.Request.Value != 0)
+    ByKey[Key] = Ticket;
   return Ticket;
 }
 
-void BatchTickets::answer(const BatchRequestName &Name,
-                          const BatchResult &Result, DoneFn Unwanted) {
-  Loop->defer([this, Name, Result, Unwanted = std::move(Unwanted)] {
-    auto Found = ByName.find(Name);
-    if (Found == ByName.end())
-      return Unwanted(Result);
+void BatchTickets::answer(const BatchRequestKey &Key, const BatchResult &Result,
+                          DoneFn OnUnclaimed) {
+  Loop->defer([this, Key, Result, OnUnclaimed = std::move(OnUnclaimed)] {
+    auto Found = ByKey.find(Key);
+    if (Found == ByKey.end())
+      return OnUnclaimed(Result);
     auto Waiting = Waiters.find(Found->second);
-    ByName.erase(Found);
+    ByKey.erase(Found);
     DoneFn Fn = std::move(Waiting->second.Done);
     Waiters.erase(Waiting);
     Fn(Result);
@@ -37,23 +37,23 @@
   });
 }
 
-void BatchTickets::inputsRead(const BatchRequestName &Name) const {
-  auto Found = ByName.find(Name);
-  if (Found == ByName.end())
+void BatchTickets::inputsRead(const BatchRequestKey &Key) const {
+  auto Found = ByKey.find(Key);
+  if (Found == ByKey.end())
     return;
   ReadFn Read = Waiters.at(Found->second).Read;
   if (Read)
     Read();
 }
 
-std::optional<BatchRequestName> BatchTickets::remove(BatchTicket Ticket) {
+std::optional<BatchRequestKey> BatchTickets::remove(BatchTicket Ticket) {
   auto Found = Waiters.find(Ticket);
   if (Found == Waiters.end())
     return std::nullopt;
-  BatchRequestName Name = std::move(Found->second.Name);
+  BatchRequestKey Key = std::move(Found->second.Key);
   Waiters.erase(Found);
-  ByName.erase(Name);
-  return Name;
+  ByKey.erase(Key);
+  return Key;
 }
 
 } // namespace fulmar
--- a/src/batch_tickets.h
+++ b/src/batch_tickets.h
@@ -1,4 +1,4 @@
-/// \file batch_tickets.h Who waits for which ask.
+/// \file batch_tickets.h Callbacks of batch requests in progress.
 #ifndef FULMARSTEP_BATCH_TICKETS_H
 #define FULMARSTEP_BATCH_TICKETS_H
 
@@ -11,50 +11,51 @@
 
 namespace fulmar {
 
-/// An ask as its pool knows it.
-struct BatchRequestName {
-  std::string Pool;       ///< Which pool.
-  BatchRequestId Request; ///< Its name there.
+/// Identifies a batch request on this node.
+struct BatchRequestKey {
+  std::string Pool;       ///< Part of a pool.
+  BatchRequestId Request; ///< Its id in that part.
 
-  auto operator<=>(const BatchRequestName &) const = default;
+  auto operator<=>(const BatchRequestKey &) const = default;
 };
 
-/// Remembers who waits for the asks of some pools.
+/// Keeps the callbacks of batch requests.
 class BatchTickets {
 public:
   using DoneFn = std::function<void(const BatchResult &)>;
   using ReadFn = std::function<void()>;
 
-  /// \param Loop calls back; null: only for asks that are never answered.
+  /// \param L runs the callbacks; null: only for requests that are never
+  /// answered.
   void start(EventLoop &L) { Loop = &L; }
 
-  /// \return The ticket of an ask; \p Done and \p Read may be empty.
-  BatchTicket add(const BatchRequestName &Name, DoneFn Done, ReadFn Read);
-  /// Answers an ask from the loop: whoever asked may not know the ticket yet,
-  /// and may ask again at once.
-  /// \param Unwanted is called when nobody waits any more.
-  void answer(const BatchRequestName &Name, const BatchResult &Result,
-              DoneFn Unwanted);
-  /// Answers an ask that no pool knows.
+  /// \return The ticket of a batch request; \p Done and \p Read may be empty.
+  BatchTicket add(const BatchRequestKey &Key, DoneFn Done, ReadFn Read);
+  /// Passes on a result from the event loop: the submitter may not have the
+  /// ticket yet, and may submit again from the callback.
+  /// \param OnUnclaimed is called instead if the request was cancelled.
+  void answer(const BatchRequestKey &Key, const BatchResult &Result,
+              DoneFn OnUnclaimed);
+  /// Passes on the result of a request that no pool has accepted.
   void answer(BatchTicket Ticket, const BatchResult &Result);
-  /// Tells that an ask's inputs have been read.
-  void inputsRead(const BatchRequestName &Name) const;
-  /// Forgets who waits.
-  /// \return The ask, or nothing when it was answered.
-  std::optional<BatchRequestName> remove(BatchTicket Ticket);
+  /// Reports that the inputs of a batch request have been read.
+  void inputsRead(const BatchRequestKey &Key) const;
+  /// Removes the callbacks of a batch request.
+  /// \return The request, or nothing when it was answered.
+  std::optional<BatchRequestKey> remove(BatchTicket Ticket);
 
 private:
-  /// Who waits for an ask.
+  /// The callbacks of one batch request.
   struct Waiter {
-    BatchRequestName Name; ///< Which ask.
-    DoneFn Done;           ///< Hears the result.
-    ReadFn Read;           ///< Hears that the inputs were read.
+    BatchRequestKey Key;
+    DoneFn Done; ///< Called with the result.
+    ReadFn Read; ///< Called when the inputs have been read.
   };
 
-  EventLoop *Loop = nullptr;                      ///< Calls back.
-  std::map<BatchTicket, Waiter> Waiters;          ///< By ticket.
-  std::map<BatchRequestName, BatchTicket> ByName; ///< Back.
-  std::uint64_t LastTicket = 0;                   ///< Counts asks.
+  EventLoop *Loop = nullptr;                    ///< Runs the callbacks.
+  std::map<BatchTicket, Waiter> Waiters;        ///< By ticket.
+  std::map<BatchRequestKey, BatchTicket> ByKey; ///< Tickets by request.
+  std::uint64_t LastTicket = 0;                 ///< Last ticket assigned.
 };
 
 } // namespace fulmar
--- a/src/batch_type.h
+++ b/src/batch_type.h
@@ -1,4 +1,5 @@
-/// \file batch_type.h Pieces of work, and the calls that carry many of them.
+/// \file batch_type.h Batch requests, and the calls that carry pieces of many
+/// of them.
 #ifndef FULMARSTEP_BATCH_TYPE_H
 #define FULMARSTEP_BATCH_TYPE_H
 
@@ -15,8 +16,8 @@
 
 namespace fulmar {
 
-/// Who is refused is not told to come back sooner than this: a few round trips
-/// later a pool that is full is as full as before.
+/// Least retry delay that a refusal tells its client: a few round trips later a
+/// full pool is as full as before.
 inline constexpr Duration LeastComeBack = std::chrono::milliseconds(200);
 
 struct BatchRequestTag {};
@@ -24,117 +25,120 @@
 struct BatchTicketTag {};
 using BatchRequestId = StrongId<BatchRequestTag>; ///< One stage of one request.
 using BatchCallId = StrongId<BatchCallTag>;       ///< One call to an upstream.
-using BatchTicket = StrongId<BatchTicketTag>;     ///< Of who asked; 0: none.
+using BatchTicket = StrongId<BatchTicketTag>;     ///< Of a submitter; 0: none.
 
 /// The pieces of one stage of one request.
 struct BatchRequest {
-  std::string RequestId;           ///< As the client named it.
-  int Stage = 0;                   ///< Which stage of its route.
-  int Pieces = 0;                  ///< How many; numbered from 0.
-  std::string Key;                 ///< For a stage without inputs.
-  std::vector<std::string> Inputs; ///< Results that each piece needs.
+  std::string RequestId; ///< Request id given by the client.
+  int Stage = 0;         ///< Index of the stage in its route.
+  int Pieces = 0;        ///< Number of pieces; they are numbered from 0.
+  std::string Key;       ///< Piece key for a stage without inputs.
+  std::vector<std::string> Inputs; ///< Handles that each piece reads.
   int Priority = 5;                ///< 0 is the most urgent.
-  double ResultBytes = 0;          ///< Size of one result, about.
-  std::string Domain;              ///< Best made there; empty: anywhere.
-  bool TellRead = false;           ///< Tell when the inputs have been read.
-  Fingerprint Content;             ///< The same for each try of a request.
-  int Crashes = 0;     ///< Upstreams that ended under it, as known here.
-  Duration Due{};      ///< From now: done by then, the request can be on time.
-  Duration Deadline{}; ///< From now: done later, it is of no use.
+  double ResultBytes = 0;          ///< Approximate size of one result.
+  std::string Domain;              ///< Preferred failure domain; empty: none.
+  bool TellRead = false;           ///< Notify when the inputs have been read.
+  Fingerprint Content; ///< Fingerprint; the same for each retry of a request.
+  int Crashes = 0;     ///< Upstream crashes under it, as known here.
+  Duration Due{};      ///< From now; latest on-time completion.
+  Duration Deadline{}; ///< From now; a later result is of no use.
 };
 
-/// How an ask ended.
+/// How a batch request ended.
 enum class BatchEnd {
   Done,        ///< All pieces have results.
-  Hopeless,    ///< They could not be done before they are of no use.
-  Full,        ///< Too many wait already.
+  Hopeless,    ///< The pieces cannot complete before the deadline.
+  Full,        ///< Too many batch requests are waiting.
   NoUpstream,  ///< No upstream can be reached.
   InputsGone,  ///< An input no longer exists.
   Failed,      ///< The upstreams failed to produce a piece.
-  Unreachable, ///< The node that forms the calls did not answer.
-  Count,       ///< Number of ends.
-  Invalid,     ///< Not an end.
+  Unreachable, ///< The pool's coordinator did not respond.
+  Count,       ///< Number of outcomes.
+  Invalid,     ///< Not an outcome.
 };
 
-/// What an ask came to.
+/// The result of a batch request.
 struct BatchResult {
   BatchEnd End = BatchEnd::Invalid; ///< How it ended.
-  std::vector<std::string> Handles; ///< By piece, when Done.
+  std::vector<std::string> Handles; ///< Results by piece, when Done.
   bool Ran = false;                 ///< Some piece ran or may have run.
-  bool SpaceScarce = false;         ///< Space for results is scarce.
-  Duration RetryIn{}; ///< When there may be room, if it was refused.
+  bool SpaceScarce = false; ///< Some upstream is short of space for results.
+  Duration RetryIn{};       ///< When to retry, if the request was refused.
 };
 
-/// What pieces that are asked for now would take.
+/// Expected time until pieces that are submitted now complete.
 struct BatchForecast {
-  Duration OnTime{}; ///< Behind all that can be on time and is as urgent.
-  Duration Late{};   ///< Behind all that waits, and whatever comes meanwhile
-                     ///< and can be on time.
+  Duration OnTime{}; ///< Behind all waiting pieces that can be on time and are
+                     ///< as urgent.
+  Duration Late{};   ///< Behind all waiting pieces, and those that arrive
+                     ///< meanwhile and can be on time.
 };
 
-/// Asks another node for pieces.
+/// A batch request to the node that coordinates the pool.
 struct BatchRequestMessage {
-  std::uint64_t Ticket = 0; ///< The asking node's name for it.
-  std::string Pool;         ///< Which pool.
-  BatchRequest Request;     ///< What is asked.
+  std::uint64_t Ticket = 0; ///< Ticket at the sending node.
+  std::string Pool;         ///< Part of a pool, see batchPartName().
+  BatchRequest Request;     ///< Its times count from when it was sent.
 };
 
-/// Answer to it: at once that it is known, later what it came to.
+/// Response to a BatchRequestMessage: an acknowledgement at once, the result
+/// later.
 struct BatchAnswerMessage {
-  std::uint64_t Ticket = 0; ///< As in the ask.
-  bool Pending = false;     ///< The result comes later.
-  BatchForecast Forecast;   ///< While Pending: of its pool; zero: not known.
-  bool InputsRead = false;  ///< While Pending: no piece needs them any more.
+  std::uint64_t Ticket = 0; ///< As in the request.
+  bool Pending = false;     ///< The result follows in a later message.
+  BatchForecast Forecast;   ///< While Pending: of the pool; zero: not known.
+  bool InputsRead = false;  ///< While Pending: no piece needs its inputs.
   BatchResult Result;       ///< Unless Pending.
 };
 
-/// What the asking node is done with.
+/// Tells the coordinator what the requesting node has received, cancelled or
+/// released.
 struct BatchReleaseMessage {
-  std::string Pool;                     ///< Which pool.
-  std::vector<std::uint64_t> Taken;     ///< Results that have come.
-  std::vector<std::uint64_t> Cancelled; ///< Nobody waits for these.
-  std::vector<std::string> Freed;       ///< Results no longer needed.
+  std::string Pool; ///< Part of a pool that made the results in Freed.
+  std::vector<std::uint64_t> Taken; ///< Tickets whose results were received.
+  std::vector<std::uint64_t> Cancelled; ///< Tickets that were cancelled.
+  std::vector<std::string> Freed;       ///< Handles not needed any more.
 };
 
 /// One piece in a call.
 struct BatchItem {
-  BatchRequestId Request;          ///< Whose piece.
-  std::string RequestId;           ///< Whose request.
-  int Stage = 0;                   ///< Which stage.
-  int Piece = 0;                   ///< Which piece.
-  std::string Key;                 ///< As in the ask.
-  std::vector<std::string> Inputs; ///< As in the ask.
-  Fingerprint Content;             ///< As in the ask.
-  Duration Left{};                 ///< Time until it is of no use.
+  BatchRequestId Request;          ///< The batch request that it belongs to.
+  std::string RequestId;           ///< Request id given by the client.
+  int Stage = 0;                   ///< Index of the stage in its route.
+  int Piece = 0;                   ///< Index of the piece in its batch request.
+  std::string Key;                 ///< As in BatchRequest.
+  std::vector<std::string> Inputs; ///< As in BatchRequest.
+  Fingerprint Content;             ///< As in BatchRequest.
+  Duration Left{};                 ///< Time until its deadline.
 };
 
-/// What an upstream says of one piece.
+/// How one piece of a call ended, as reported by the upstream.
 enum class PieceEnd {
   Done,       ///< There is a result.
-  Late,       ///< Its time was over when its turn came.
+  Late,       ///< Its deadline passed before it was started.
   InputsGone, ///< An input no longer exists.
   NoRoom,     ///< There was no space for the result.
   Failed,     ///< It could not be produced.
-  Count,      ///< Number of ends.
-  Invalid,    ///< Not an end.
+  Count,      ///< Number of outcomes.
+  Invalid,    ///< Not an outcome.
 };
 
-/// The answer to one piece.
+/// The result of one piece.
 struct PieceResult {
   PieceEnd End = PieceEnd::Failed; ///< How it ended.
-  std::string Handle;              ///< Names the result, when Done.
+  std::string Handle;              ///< Handle of the result, when Done.
 };
 
 /// How a call ended.
 struct BatchCallResult {
-  bool Answered = false; ///< There is an answer for each piece.
-  AttemptEffect Effect = AttemptEffect::MayHaveRun; ///< If it is not answered.
-  bool Crashed = false;                             ///< The upstream broke off.
+  bool Answered = false; ///< The response has a result for each piece.
+  AttemptEffect Effect = AttemptEffect::MayHaveRun; ///< Unless Answered.
+  bool Crashed = false; ///< The upstream closed the connection during the call.
   std::vector<PieceResult> Pieces;  ///< In the order of the call.
-  std::optional<UpstreamLoad> Load; ///< What the upstream still has to do.
-  std::optional<double> RateLimit;  ///< Calls a second that the upstream takes
-                                    ///< from all nodes together.
-  std::string Why; ///< For logs, when the answer cannot be read.
+  std::optional<UpstreamLoad> Load; ///< Load that the upstream reported.
+  std::optional<double> RateLimit; ///< Calls a second that the upstream accepts
+                                   ///< from all nodes together.
+  std::string Why; ///< Reason for the log, when the response cannot be read.
 };
 
 } // namespace fulmar
--- a/src/priority_share.h
+++ b/src/priority_share.h
@@ -1,4 +1,4 @@
-/// \file priority_share.h What each priority gets of a pool that is overloaded.
+/// \file priority_share.h Shares of the priorities in an overloaded pool.
 #ifndef FULMARSTEP_PRIORITY_SHARE_H
 #define FULMARSTEP_PRIORITY_SHARE_H
 
@@ -9,34 +9,34 @@
 
 namespace fulmar {
 
-/// After this time work counts half: a few rounds of calls, and short against
-/// the bursts of several seconds that the rule is for.
+/// Half-life of the counts: a few rounds of calls, and short against the bursts
+/// of several seconds that the rule is for.
 inline constexpr Duration ShareHalfLife = std::chrono::seconds(2);
-/// A priority that gets less than this part of what the mean gets goes first.
-/// Close to one, the urgent would have no advantage left.
-inline constexpr double LeastShare = 0.8;
+/// A priority goes first if the sent part of its pieces is below this share of
+/// the mean. Close to one, urgent priorities would have no advantage left.
+inline constexpr double MinRelativeShare = 0.8;
 
-/// How much of what is asked at one priority was sent lately.
+/// Recently submitted and sent pieces of one priority.
 struct PriorityShare {
-  double Asked = 0;    ///< Pieces, older ones counting less.
-  double Sent = 0;     ///< Of them sent while they could be on time.
-  bool Behind = false; ///< It got much less of what it asked than the mean.
+  double Asked = 0; ///< Submitted pieces, with exponential decay.
+  double Sent = 0;  ///< Of them sent while they could be on time, likewise.
+  bool Underserved = false; ///< Its sent part is far below the mean.
 };
 
-/// The shares of all priorities at one pool.
+/// The shares of all priorities in one pool.
 ///
-/// Work that waits goes by priority. While a pool gets more than it can do, the
-/// least urgent priority would get nothing at all for as long as that lasts,
-/// and its requests, which no refusal has told to come back, end late or fail
-/// together (test "a burst in which the least urgent are not forgotten"). With
-/// its share kept, the urgent ones lose far less than the others gain.
+/// Waiting jobs are sent by priority. While a pool is overloaded, the least
+/// urgent priority would get nothing at all for as long as that lasts, and its
+/// requests, which no refusal has told to retry, end late or fail together
+/// (test "a burst in which the least urgent are not starved"). With its share
+/// kept, urgent requests lose far less than the others gain.
 struct PriorityShares {
   std::map<int, PriorityShare> ByPriority; ///< 0 is the most urgent.
-  TimePoint AgedAt{};                      ///< When they were last aged.
+  TimePoint AgedAt{}; ///< When the counts were last decayed.
 };
 
-/// Lets what was counted so far count less, and looks who is behind. To be
-/// called every few tens of ms.
+/// Decays the counts and finds the underserved priorities. To be called every
+/// few tens of ms.
 inline void sharesAge(PriorityShares &S, TimePoint Now) {
   double Keep = std::exp2(-toMs(Now - S.AgedAt) / toMs(ShareHalfLife));
   PriorityShare All;
@@ -47,24 +47,26 @@
     All.Sent += Share.Sent;
   }
   for (auto &[Priority, Share] : S.ByPriority)
-    Share.Behind = Share.Sent * All.Asked < LeastShare * All.Sent * Share.Asked;
+    Share.Underserved =
+        Share.Sent * All.Asked < MinRelativeShare * All.Sent * Share.Asked;
   S.AgedAt = Now;
 }
 
-/// \return Pieces a second that were sent lately while they could be on time.
+/// \return Recent rate of pieces sent while they could be on time, per second.
 inline double sharesSentRate(const PriorityShares &S) {
   double Sent = 0;
   for (const auto &[Priority, Share] : S.ByPriority)
     Sent += Share.Sent;
-  // What decays with this half-life sums up this many seconds of a rate.
+  // A count that decays with this half-life equals the rate times this many
+  // seconds.
   double Seconds = toMs(ShareHalfLife) / 1e3 / std::log(2.0);
   return Sent / Seconds;
 }
 
-/// \return Whether a priority gets much less of what it asks than the mean.
-inline bool shareBehind(const PriorityShares &S, int Priority) {
+/// \return Whether a priority gets much less than the mean share.
+inline bool shareUnderserved(const PriorityShares &S, int Priority) {
   auto Found = S.ByPriority.find(Priority);
-  return Found != S.ByPriority.end() && Found->second.Behind;
+  return Found != S.ByPriority.end() && Found->second.Underserved;
 }
 
 } // namespace fulmar
--- a/tests/batch_world.h
+++ b/tests/batch_world.h
@@ -9,7 +9,7 @@
 
 namespace fulmar {
 
-/// A pool whose upstreams do as they are told, in virtual time.
+/// A pool with simulated upstreams, in virtual time.
 struct PoolWorld {
   BatchPool P;
   TimePoint Now{std::chrono::seconds(100)};
@@ -18,12 +18,12 @@
   std::set<std::uint64_t> Read;
   std::set<std::string> Freed;
   std::vector<SendBatchAction> Sent;
-  std::map<std::string, double> Slow; ///< Factor by instance.
-  bool Full = false;                  ///< Upstreams refuse.
+  std::map<std::string, double> Slow; ///< Factor of the call time, by instance.
+  bool Full = false;                  ///< Upstreams refuse calls as full.
   bool NoRoom = false;                ///< Upstreams have no space for results.
-  Fingerprint Deadly;                 ///< Ends upstreams; 0: none does.
-  std::map<Fingerprint, int> Crashes; ///< Ended calls that it was in.
-  int OtherCalls = 0;                 ///< Of other nodes, as the upstreams say.
+  Fingerprint Deadly;                 ///< Crashes upstreams; 0: none does.
+  std::map<Fingerprint, int> Crashes; ///< Crashed calls, by content.
+  int OtherCalls = 0;                 ///< Of other nodes, as upstreams report.
   int LastHandle = 0;
 
   explicit PoolWorld(int Upstreams, BatchSpec Spec = ledgerSpec()) {
@@ -33,7 +33,7 @@
     list(Upstreams);
   }
 
-  /// As a pool of the sites: 24 pieces a call, 240 ms and 8.6 ms a piece.
+  /// Typical limits: 24 pieces a call, 240 ms a call and 8.6 ms a piece.
   static BatchSpec ledgerSpec() {
     BatchSpec Spec;
     Spec.MaxPieces = 24;
@@ -54,7 +54,7 @@
       Listed.push_back(E);
     }
     BatchActions Out;
-    batchUpstreams(P, Listed, Now, Out);
+    batchSetUpstreams(P, Listed, Now, Out);
     perform(Out);
   }
 
@@ -99,7 +99,7 @@
     return Id.Value;
   }
 
-  /// Lets time pass in steps of 10 ms.
+  /// Advances the time in steps of 10 ms.
   void pass(Duration Time) {
     TimePoint End = Now + Time;
     while (Now < End) {
@@ -142,7 +142,7 @@
     perform(Out);
   }
 
-  /// Gives back the results of every ask that is done.
+  /// Frees the results of all completed batch requests.
   void freeAll() {
     for (auto &[Id, Result] : Answers) {
       BatchActions Out;
--- a/tests/test_batch.cpp
+++ b/tests/test_batch.cpp
@@ -1,4 +1,4 @@
-/// \file test_batch.cpp Forming calls out of pieces, in virtual time.
+/// \file test_batch.cpp Combining pieces into calls, in virtual time.
 #include <catch2/catch.hpp>
 
 #include <algorithm>
@@ -30,9 +30,9 @@
   }
 }
 
-SCENARIO("a burst that the pool can just bear") {
-  // 48 requests/s of 4 pieces, as when one kind comes 2.6 times as often; full
-  // calls of five upstreams make 269 pieces/s.
+SCENARIO("a burst just within the capacity of the pool") {
+  // 48 requests/s of 4 pieces, as when one kind of request comes 2.6 times as
+  // often; full calls at five upstreams complete 269 pieces/s.
   PoolWorld W(5);
   int Asked = 0;
   for (int I = 0; I < 300; ++I) {
@@ -50,10 +50,10 @@
 }
 
 SCENARIO("calls begin one after the other") {
-  // Symptom: a stage takes 460 ms though its calls take 330.
-  // Sequence: some upstreams happen to be free at once and are given calls at
-  // once; they end at once, and all that came in between goes out at once.
-  // Cause: each free upstream was given what waited at that moment.
+  // Guards against stages that take 460 ms though their calls take 330. Some
+  // upstreams happen to be free together and get calls together, which end
+  // together, so all pieces that arrived in between are sent together too. The
+  // cause was that each free upstream was sent whatever waited at that moment.
   BatchSpec Spec = PoolWorld::ledgerSpec();
   Spec.MaxPieces = 40;
   Spec.PieceTime = Duration(5100);
@@ -62,7 +62,7 @@
   Random Rng(7);
   std::map<std::uint64_t, TimePoint> Asked;
   std::vector<double> Times;
-  // 432 pieces/s, 0.6 of what full calls make.
+  // 432 pieces/s, 0.6 of what full calls complete.
   for (int I = 0; I < 3000; ++I) {
     W.pass(milliseconds(10));
     W.freeAll();
@@ -83,13 +83,13 @@
   CHECK(Mean < 430);
 }
 
-SCENARIO("a burst that is more than the pool can do") {
-  // Symptom: in a burst of 1.3 times what a pool can do hardly a request is on
-  // time, although three quarters could be.
-  // Sequence: the queue grows until its head is just about to be late; from
-  // then on each job is sent at its last moment.
-  // Cause: a job counted as on time that the smallest call would still end in
-  // time; calls are full then, and take twice as long.
+SCENARIO("a burst beyond the capacity of the pool") {
+  // Guards against a burst of 1.3 times the pool's capacity in which hardly a
+  // request is on time, although three quarters could be. The queue grows until
+  // its head is just about to be late, and each job is then sent at the last
+  // moment. The cause was that a job counted as on time if the smallest call
+  // would complete it in time; calls are full in a burst and take twice as
+  // long.
   PoolWorld W(5);
   std::map<std::uint64_t, TimePoint> Due;
   std::map<int, std::pair<int, int>> OnTime; // By priority: asked, on time.
@@ -103,7 +103,8 @@
         continue;
       OnTime[Priority[Id]].second += W.Now <= Due[Id] ? 1 : 0;
     }
-    // 350 pieces/s; the pool makes 269. Five eighths are of the first class.
+    // 350 pieces/s; the pool completes 269. Five eighths are of the first
+    // class.
     bool Second = I % 8 >= 5;
     if (I % 8 == 7)
       continue;
@@ -119,19 +120,18 @@
   double All = 1.0 * (OnTime[0].second + OnTime[2].second) /
                (OnTime[0].first + OnTime[2].first);
   CAPTURE(Urgent, Other, All);
-  // What is asked in the last second is not done yet.
+  // Requests of the last second are not complete yet.
   CHECK(All > 0.62);
   CHECK(Urgent > 0.65);
   CHECK(Other < Urgent);
 }
 
 SCENARIO("a burst whose refusals come at once") {
-  // Symptom: in a burst, requests wait for 2.3 s in the mean, are refused then,
-  // and told to come back in 30 ms.
-  // Sequence: a request is let in because it could be on time; others that are
-  // more urgent come; it is late now, and all that come later pass it until
-  // nothing can be done in time.
-  // Cause: the time until its turn was worked out as if it could stay on time.
+  // Guards against requests that wait for 2.3 s in the mean in a burst, and are
+  // then refused and told to retry in 30 ms. A request is accepted because it
+  // could be on time; more urgent ones arrive and make it late, and all later
+  // ones overtake it until it cannot complete in time. The cause was that its
+  // queueing delay was estimated as if it could stay on time.
   PoolWorld W(5);
   std::map<std::uint64_t, TimePoint> Asked;
   std::set<std::uint64_t> Counted;
@@ -151,7 +151,8 @@
       WaitedMs.push_back(toMs(W.Now - Asked[Id]));
       RetryMs += toMs(Result.RetryIn);
     }
-    // 400 pieces/s; the pool makes 269. All have 700 ms, and leave after 2.7 s.
+    // 400 pieces/s; the pool completes 269. All have a target of 700 ms and a
+    // deadline of 2.7 s.
     BatchRequest Request = W.makeAsk(4);
     Request.Due = milliseconds(700);
     Request.Deadline = milliseconds(2700);
@@ -167,12 +168,12 @@
   CHECK(OnTime > 300);
 }
 
-SCENARIO("a burst in which the least urgent are not forgotten") {
-  // Symptom: while one kind of request comes 2.4 times as often for six
-  // seconds, hardly any of a less urgent kind is on time, and they fail
-  // together when the burst is over. Sequence: the pool can do three quarters
-  // of what is asked; each call is filled with the more urgent kind. Cause:
-  // priority alone decided.
+SCENARIO("a burst in which the least urgent are not starved") {
+  // Guards against starvation: while one kind of request comes 2.4 times as
+  // often for six seconds, hardly any request of a less urgent kind is on time,
+  // and they fail together when the burst is over. The pool can do three
+  // quarters of what is submitted, and each call is filled with the more urgent
+  // kind. The cause was that priority alone set the order.
   BatchSpec Spec;
   Spec.MaxPieces = 58;
   Spec.CallTime = milliseconds(150);
@@ -208,12 +209,11 @@
 }
 
 SCENARIO("space for results is short") {
-  // Symptom: hundreds of pieces wait while calls carry a third of what they
-  // could.
-  // Sequence: requests of eight pieces; each call has room for a part of one;
-  // more urgent requests come meanwhile.
-  // Cause: the first pieces of many requests keep the space, and none of them
-  // can go on.
+  // Guards against calls that carry a third of what they could while hundreds
+  // of pieces wait. Requests have eight pieces, each call has space for a part
+  // of one, and more urgent requests arrive meanwhile. The cause was that the
+  // first pieces of many requests occupied the space, so that none of them
+  // could complete.
   BatchSpec Spec = PoolWorld::ledgerSpec();
   Spec.RoomBytes = 1.2e6; // 18 results.
   PoolWorld W(1, Spec);
@@ -222,29 +222,29 @@
     Request.Due = milliseconds(3000 - 400 * I);
     W.ask(Request);
   }
-  int MostOpen = 0;
+  int MaxOpen = 0;
   for (int I = 0; I < 400 && W.Answers.size() < 6; ++I) {
     W.pass(milliseconds(10));
     W.freeAll();
     int Open = 0;
     for (const auto &[Id, Job] : W.P.Jobs)
-      Open += Job.Left > 0 && Job.Left < 8 ? 1 : 0;
-    MostOpen = std::max(MostOpen, Open);
+      Open += Job.Unfinished > 0 && Job.Unfinished < 8 ? 1 : 0;
+    MaxOpen = std::max(MaxOpen, Open);
   }
   CHECK(W.Answers.size() == 6);
-  CHECK(MostOpen <= 1);
+  CHECK(MaxOpen <= 1);
 }
 
-SCENARIO("the next stage is behind, and results lie") {
-  // Symptom: requests are let in that wait for two seconds between their
-  // stages and are refused then.
-  // Sequence: the pool of the next stage is full, results fill the space of
-  // this one, and its calls carry a third of what they could.
-  // Cause: the time until a request's turn was worked out with full calls.
+SCENARIO("results wait for a full next stage") {
+  // Guards against requests that are accepted, wait for two seconds between
+  // their stages, and are refused then. The pool of the next stage is full,
+  // results fill the space of this one, and its calls carry a third of what
+  // they could. The cause was that the queueing delay was estimated with full
+  // calls.
   PoolWorld W(5);
   for (int I = 0; I < 300; ++I) {
     W.pass(milliseconds(10));
-    // 200 pieces/s are asked for; the next stage takes 80.
+    // 200 pieces/s are submitted; the next stage takes 80.
     if (I % 2 == 0) {
       BatchRequest Request = W.makeAsk(4);
       Request.Deadline = std::chrono::seconds(60);
@@ -273,27 +273,27 @@
   CHECK(toMs(Forecast->Late) < Waiting / 80.0 * 1e3 * 1.6);
 }
 
-SCENARIO("the space of inputs is given back when they were read") {
+SCENARIO("the space of inputs is released when they were read") {
   PoolWorld W(1);
   W.ask(W.makeAsk(1));
   W.pass(milliseconds(260));
   BatchRequest Request = W.makeAsk(4);
   Request.TellRead = true;
   Request.Inputs = {"x/1"};
-  GIVEN("an upstream that this node alone gives calls") {
+  GIVEN("an upstream that gets calls from this node only") {
     std::uint64_t Id = W.ask(Request);
     CHECK(W.Read.empty());
     W.pass(milliseconds(80));
     CHECK(W.Read.count(Id) == 1);
     CHECK(W.Answers.count(Id) == 0);
   }
-  GIVEN("an upstream that has others' calls as well") {
-    // Symptom: 12,000 pieces of a day find their inputs gone, and their
-    // requests begin again.
-    // Sequence: nodes are cut off from the others and form calls themselves; a
-    // call waits at its upstream behind one of another node; its inputs are
-    // given back 50 ms after it was sent, and are gone at its turn.
-    // Cause: an upstream without a call of ours was taken to be idle.
+  GIVEN("an upstream that has calls of other nodes as well") {
+    // Guards against inputs that are gone when a call starts: 12,000 pieces a
+    // day found them missing, and their requests began again. Nodes are
+    // partitioned from the others and form calls themselves; a call waits at
+    // its upstream behind one of another node; its inputs are released 50 ms
+    // after it was sent, before it starts. The cause was that an upstream
+    // without a call of this node was taken to be idle.
     W.OtherCalls = 1;
     W.ask(W.makeAsk(1));
     W.pass(milliseconds(260));
@@ -303,7 +303,7 @@
   }
 }
 
-SCENARIO("inputs are kept where nothing is known of the upstream") {
+SCENARIO("inputs are kept while the load of the upstream is unknown") {
   PoolWorld W(1);
   BatchRequest Request = W.makeAsk(4);
   Request.TellRead = true;
@@ -312,36 +312,36 @@
   CHECK(W.Read.count(Id) == 0);
 }
 
-SCENARIO("work that cannot be done in time") {
+SCENARIO("batch requests that cannot complete in time") {
   PoolWorld W(1);
   for (int I = 0; I < 40; ++I)
     W.ask(W.makeAsk(12));
-  GIVEN("a request that comes when much is waiting") {
+  GIVEN("a request that arrives while many pieces wait") {
     BatchRequest Request = W.makeAsk(4);
     Request.Deadline = milliseconds(900);
     std::uint64_t Id = W.ask(Request);
-    THEN("it is refused at once, with a time to come back") {
+    THEN("it is refused at once, with a retry delay") {
       REQUIRE(W.Answers.count(Id) == 1);
       CHECK(W.Answers[Id].End == BatchEnd::Hopeless);
       CHECK(W.Answers[Id].RetryIn > Duration::zero());
       CHECK_FALSE(W.Answers[Id].Ran);
     }
   }
-  GIVEN("requests that wait too far back") {
+  GIVEN("requests too far back in the queue") {
     W.pass(milliseconds(20));
     int Hopeless = 0;
     for (const auto &[Id, Result] : W.Answers)
       Hopeless += Result.End == BatchEnd::Hopeless ? 1 : 0;
-    THEN("they are given up long before their time is over") {
+    THEN("they are dropped long before their deadlines") {
       CHECK(Hopeless > 5);
     }
   }
 }
 
-SCENARIO("an upstream turns slow") {
-  // Symptom: some requests wait for a single stage for seconds.
-  // Sequence: an upstream takes five times as long from one call to the next.
-  // Cause: calls at it are waited for.
+SCENARIO("an upstream becomes slow") {
+  // Guards against requests that wait for a single stage for seconds: an
+  // upstream takes five times as long from one call to the next, and its calls
+  // were waited for.
   PoolWorld W(3);
   W.Slow["i0"] = 6;
   std::vector<std::uint64_t> Ids;
@@ -351,7 +351,7 @@
     W.freeAll();
   }
   W.pass(seconds(3));
-  THEN("its pieces are made elsewhere, and it gets little more") {
+  THEN("its pieces are sent elsewhere, and it gets few more") {
     for (std::uint64_t Id : Ids)
       CHECK(W.Answers.at(Id).End == BatchEnd::Done);
     CHECK(W.P.Counts.Hedges >= 1);
@@ -362,12 +362,12 @@
   }
 }
 
-SCENARIO("upstreams that say they are full") {
+SCENARIO("upstreams that report that they are full") {
   PoolWorld W(2);
   W.Full = true;
   std::uint64_t Id = W.ask(W.makeAsk(2));
   W.pass(milliseconds(200));
-  THEN("they are asked again now and then, not at once") {
+  THEN("they are tried again after a backoff") {
     CHECK(W.Answers.empty());
     CHECK(W.Sent.size() <= 6);
     W.Full = false;
@@ -376,17 +376,16 @@
   }
 }
 
-SCENARIO("upstreams are full for longer than repeats are allowed") {
-  // Symptom: after a restart of all nodes requests fail within 250 ms although
-  // all upstreams live.
-  // Sequence: nodes differ about who forms the calls; upstreams refuse; a pool
-  // that has had few requests may hardly repeat anything.
-  // Cause: a refusal, after which nothing has run, cost a repeat, and a request
-  // whose repeats were used up failed.
+SCENARIO("upstreams are full for longer than the retry allowance lasts") {
+  // Guards against requests that fail within 250 ms after a restart of all
+  // nodes although all upstreams are up. Nodes disagree about the coordinator,
+  // upstreams refuse calls, and the retry allowance of a pool with few requests
+  // is small. The cause was that a refusal, after which nothing has run,
+  // counted as a repeat, and a request without repeats left failed.
   PoolWorld W(2);
   W.P.Allowance = {0, 0, seconds(10), 1};
   SECTION("they refuse calls") { W.Full = true; }
-  SECTION("their space is taken by results of who formed the calls before") {
+  SECTION("their space is taken by results of the previous coordinator") {
     W.NoRoom = true;
   }
   std::uint64_t Id = W.ask(W.makeAsk(2));
@@ -402,7 +401,7 @@
   CHECK(W.Answers.at(Later).End == BatchEnd::Done);
 }
 
-SCENARIO("large results are made where they are used") {
+SCENARIO("large results are computed in the failure domain that uses them") {
   PoolWorld W(3);
   BatchRequest Request = W.makeAsk(2);
   Request.Domain = "z2";
@@ -410,7 +409,7 @@
   W.ask(Request);
   REQUIRE(W.Sent.size() == 1);
   CHECK(W.Sent[0].Upstream.Instance == "i2");
-  GIVEN("another while that upstream works") {
+  GIVEN("another request while that upstream is busy") {
     W.ask(Request);
     CHECK(W.Sent.size() == 1);
     THEN("one that cannot wait goes elsewhere") {
@@ -421,11 +420,11 @@
   }
 }
 
-SCENARIO("a load of results that are used in one failure domain") {
-  // Symptom: a third of all results cross between failure domains.
-  // Sequence: upstreams of other domains are free when a request's pieces come;
-  // those of its own are busy for another 100 ms.
-  // Cause: whichever upstream was free took what waited.
+SCENARIO("results stay in the failure domain that uses them") {
+  // Guards against a third of all results crossing between failure domains.
+  // Upstreams of other domains are free when the pieces of a request arrive,
+  // while those of its own are busy for another 100 ms. The cause was that any
+  // free upstream was sent the waiting pieces.
   BatchSpec Spec;
   Spec.MaxPieces = 96;
   Spec.CallTime = milliseconds(150);
@@ -437,7 +436,7 @@
   std::map<std::uint64_t, TimePoint> Due;
   int OnTime = 0;
   int Done = 0;
-  // 66 requests/s of 16 pieces, half of what full calls make.
+  // 66 requests/s of 16 pieces, half of what full calls complete.
   for (int I = 0; I < 2000; ++I) {
     W.pass(milliseconds(10));
     W.freeAll();
@@ -456,21 +455,21 @@
     Due[W.ask(Request)] = W.Now + Request.Due;
   }
   double Pieces = 0;
-  double Crossing = 0;
+  double CrossDomain = 0;
   for (const SendBatchAction &Call : W.Sent) {
     std::string Made =
         "z" + std::to_string((Call.Upstream.Instance[1] - '0') % 3);
     for (const BatchItem &Item : Call.Items) {
       ++Pieces;
-      Crossing += Item.RequestId == Made ? 0 : 1;
+      CrossDomain += Item.RequestId == Made ? 0 : 1;
     }
   }
-  CAPTURE(Crossing / Pieces, OnTime, Done);
-  CHECK(Crossing / Pieces < 0.1);
+  CAPTURE(CrossDomain / Pieces, OnTime, Done);
+  CHECK(CrossDomain / Pieces < 0.1);
   CHECK(OnTime > 0.98 * Done);
 }
 
-SCENARIO("a request is given up while its pieces are made") {
+SCENARIO("a request is cancelled while its pieces are computed") {
   PoolWorld W(1);
   std::uint64_t Id = W.ask(W.makeAsk(2));
   BatchActions Out;
@@ -482,7 +481,7 @@
   CHECK(W.P.Upstreams.begin()->second.RoomUsed == 0);
 }
 
-SCENARIO("which node forms a pool's calls") {
+SCENARIO("which node coordinates a pool") {
   Membership M;
   M.Self.Id = "n0";
   for (int I = 1; I < 8; ++I) {
@@ -490,7 +489,7 @@
     M.Members[Id].Info.Id = Id;
   }
   std::string Coordinator = batchCoordinator(M, "pool", {});
-  THEN("it moves only when it is gone") {
+  THEN("it changes only when it is gone") {
     for (auto &[Id, Other] : M.Members) {
       if (Id == Coordinator)
         continue;
@@ -501,25 +500,26 @@
     }
     CHECK(batchCoordinator(M, "pool", {Coordinator}) != Coordinator);
   }
-  THEN("a node that cannot hear of upstreams is none") {
+  THEN("a node that cannot read the upstream list is not chosen") {
     if (M.Members.count(Coordinator))
       M.Members[Coordinator].Info.Unfit = true;
     else
       M.Self.Unfit = true;
     CHECK(batchCoordinator(M, "pool", {}) != Coordinator);
   }
-  THEN("an outage of the key-value service moves it nowhere") {
-    // Symptom: for ten seconds after an outage 300 requests a second fail with
-    // StageUnavailable; upstreams refuse call after call as full.
-    // Sequence: the service is away; one node after the other says that it is
-    // unfit; when the last one has, each node forms every pool's calls itself.
-    // Cause: a coordinator had to be fit even when no node was.
+  THEN("an outage of the key-value service does not change it") {
+    // Guards against 300 requests a second that fail with StageUnavailable for
+    // ten seconds after an outage, while upstreams refuse call after call as
+    // full. The service is unavailable, one node after the other reports that
+    // it is unfit, and after the last one each node forms the calls of every
+    // pool itself. The cause was that a coordinator had to be fit even when no
+    // node was.
     M.Self.Unfit = true;
     for (auto &[Id, Other] : M.Members)
       Other.Info.Unfit = true;
     CHECK(batchCoordinator(M, "pool", {}) == Coordinator);
   }
-  THEN("a weak host forms none, however few of the strong ones are fit") {
+  THEN("a weak host is not chosen, however few strong ones are fit") {
     for (auto &[Id, Other] : M.Members) {
       Other.Info.Strength = 20;
       Other.Info.Unfit = false;
@@ -530,33 +530,32 @@
   }
 }
 
-SCENARIO("a pool with many upstreams is divided") {
-  // Symptom: one part of a pool has 1,700 pieces waiting, another none.
-  // Sequence: 15 upstreams in three failure domains are dealt out anew in each
-  // domain; nine go to the first part, six to the second; requests go to both
-  // alike.
-  // Cause: parts of unlike size with like shares of the requests.
-  CHECK(batchParts(5) == 1);
-  CHECK(batchParts(15) == 2);
-  CHECK(batchParts(17) == 3);
+SCENARIO("a pool with many upstreams is divided into parts") {
+  // Guards against parts of unequal load: 1,700 pieces wait in one part of a
+  // pool, none in another. 15 upstreams in three failure domains were assigned
+  // to parts separately in each domain, nine to the first part and six to the
+  // second, while both got the same share of requests.
+  CHECK(batchPartCount(5) == 1);
+  CHECK(batchPartCount(15) == 2);
+  CHECK(batchPartCount(17) == 3);
   for (std::size_t Upstreams : {9, 15, 17}) {
-    std::vector<int> Requests(batchParts(Upstreams));
-    std::vector<int> Members(batchParts(Upstreams));
+    std::vector<int> Requests(batchPartCount(Upstreams));
+    std::vector<int> Members(batchPartCount(Upstreams));
     for (std::size_t I = 0; I < Upstreams; ++I)
       ++Members[I % Members.size()];
     for (int I = 0; I < 10000; ++I)
-      ++Requests[batchPartOf("r" + std::to_string(I), Upstreams)];
+      ++Requests[batchPartFor("r" + std::to_string(I), Upstreams)];
     for (std::size_t Part = 0; Part < Members.size(); ++Part)
       CHECK(Requests[Part] / static_cast<double>(Members[Part]) ==
             Approx(10000.0 / static_cast<double>(Upstreams)).epsilon(0.06));
   }
 }
 
-SCENARIO("a pool shrinks by a part") {
-  // Symptom: pieces are sent to upstreams that are leaving or gone.
-  // Sequence: a pool of 17 upstreams loses three; it had three parts and has
-  // two; pieces wait in the third.
-  // Cause: the part that went kept the upstreams that it had.
+SCENARIO("a pool shrinks and loses a part") {
+  // Guards against pieces sent to upstreams that are leaving or gone. A pool of
+  // 17 upstreams loses three, so that it has two parts instead of three while
+  // pieces wait in the third. The cause was that the removed part kept its
+  // former upstreams.
   std::vector<UpstreamEntry> All;
   for (int I = 0; I < 17; ++I) {
     UpstreamEntry Entry;
