--- a/src/wire_format.h
+++ b/src/wire_format.h
@@ -1,5 +1,5 @@
-/// \file wire_format.h How a deployment's platform writes what this product
-/// works with. One adapter for each platform.
+/// \file wire_format.h Converts between the messages of a deployment's platform
+/// and this product's types. Each platform has an adapter.
 #ifndef FULMARSTEP_WIRE_FORMAT_H
 #define FULMARSTEP_WIRE_FORMAT_H
 
@@ -15,57 +15,60 @@
 
 namespace fulmar {
 
-/// Translates; decides nothing and keeps nothing.
+/// Converts messages. It makes no decisions and holds no state.
 class WireFormat {
 public:
   virtual ~WireFormat() = default;
 
-  /// \return What the keys of all that the operator writes begin with.
+  /// \return The prefix of all keys that the operator writes.
   virtual std::string operatorPrefix() const = 0;
-  /// \return The failure domain that is drained while \p Key is there; empty
-  /// when it is not such a key.
+  /// \return The failure domain that is drained while \p Key exists; empty if
+  /// \p Key drains none.
   virtual std::string drainedDomain(std::string_view Key) const = 0;
-  /// \return Key of the configuration in the key-value service.
+  /// \return The key of the configuration in the key-value service.
   virtual std::string routesKey() const = 0;
-  /// \return What the keys of all listed upstreams begin with.
+  /// \return The prefix of the keys of all listed upstreams.
   virtual std::string upstreamsPrefix() const = 0;
   /// Reads a configuration.
-  /// \return nullptr when it cannot be read; \p Why says why.
+  /// \return nullptr if it cannot be read; \p Why then gives the reason.
   virtual RouteTablePtr readRoutes(std::string_view Text,
                                    std::string &Why) const = 0;
   /// Reads one listed upstream.
-  /// \return Nothing when the entry is not one of an upstream; \p Why says why.
+  /// \return Nothing if the entry is not one of an upstream; \p Why then gives
+  /// the reason.
   virtual std::optional<UpstreamEntry> readUpstream(std::string_view Key,
                                                     std::string_view Text,
                                                     std::string &Why) const = 0;
 
-  /// Reads what a client says of its request.
+  /// Reads the headers that describe a client's request.
   virtual ForwardAsk readAsk(const HttpExchange &Exchange) const = 0;
-  /// Writes the call that passes a request on; its address is left open.
+  /// Writes the call that forwards a request; the caller sets its address.
   virtual HttpCall writeSend(const HttpExchange &Exchange,
                              const ForwardSend &Send) const = 0;
-  /// Reads the head of an upstream's answer.
+  /// Reads the head of an upstream's response.
   virtual ForwardReply readReply(const HttpAnswer &Answer) const = 0;
-  /// \return The headers of an upstream's answer that its client gets.
+  /// \return The headers of an upstream's response that are passed to the
+  /// client.
   virtual HttpHeaders replyHeaders(const HttpAnswer &Answer) const = 0;
 
-  /// Writes a call for pieces of work; its address is left open.
+  /// Writes a batch call for pieces of work; the caller sets its address.
   virtual HttpCall writeBatch(std::span<const BatchItem> Items,
                               const std::string &Instance) const = 0;
-  /// Reads its answer.
+  /// Reads the response to a batch call.
   virtual BatchCallResult readBatch(const HttpAnswer &Answer) const = 0;
-  /// Writes a call that lets an upstream drop results; address left open.
+  /// Writes a call that releases results at an upstream; the caller sets its
+  /// address.
   virtual HttpCall writeFree(std::span<const std::string> Handles) const = 0;
-  /// \return The address of the upstream that keeps a result.
+  /// \return The address of the upstream that holds the result \p Handle.
   virtual std::string handleAddress(const std::string &Handle) const = 0;
 
-  /// \return Path at which clients ask for entry addresses.
+  /// \return The path at which clients request entry addresses.
   virtual std::string entryPath() const = 0;
-  /// \return Path at which the platform asks whether this node is ready.
+  /// \return The path at which the platform checks whether this node is ready.
   virtual std::string readyPath() const = 0;
-  /// Reads a client's question for entry addresses.
+  /// Reads a client's request for entry addresses.
   virtual EntryQuery readEntryQuery(const HttpExchange &Exchange) const = 0;
-  /// Writes the answer to it.
+  /// Writes the response to a request for entry addresses.
   virtual std::string writeEntries(const std::vector<std::string> &Addresses,
                                    Duration Ttl) const = 0;
 };
