--- a/src/kv_consul.cpp
+++ b/src/kv_consul.cpp
@@ -6,7 +6,8 @@
 
 namespace fulmar {
 
-/// The service answers in milliseconds; after this time it is out of order.
+/// The service responds within milliseconds; without a response after this time
+/// it counts as unavailable.
 static constexpr Duration CallTimeout = std::chrono::seconds(2);
 static constexpr int HttpNotFound = 404;
 
@@ -59,13 +60,13 @@
        Wait + CallTimeout, std::move(Done));
 }
 
-/// \return What the answer to a compare-and-swap says.
+/// \return The outcome of a compare-and-swap according to its response.
 static KvStatus writeStatus(const HttpAnswer &Answer) {
   if (Answer.Status == HttpOk)
     return Answer.Body.rfind("true", 0) == 0 ? KvStatus::Ok
                                              : KvStatus::Conflict;
-  // A refusal by status says that nothing was written, but a gateway's error
-  // after the write does too: only what was never sent is certain.
+  // An error status does not prove that nothing was written, since a gateway
+  // may return one after the write. Only a call that was never sent is certain.
   if (Answer.Status == HttpTooManyRequests || !Answer.MaySent)
     return KvStatus::Unavailable;
   return KvStatus::Unknown;
@@ -97,7 +98,7 @@
   Call.Method = "DELETE";
   Call.Path = "/v1/kv/" + Key;
   Call.Timeout = CallTimeout;
-  // A removal that fails leaves a value behind that nobody reads; no harm.
+  // A failed removal does no harm: it leaves a value that nobody reads.
   Client.start(std::move(Call), HttpCallbacks());
 }
 
--- a/src/kv_consul.h
+++ b/src/kv_consul.h
@@ -8,15 +8,16 @@
 
 namespace fulmar {
 
-/// Calls made, for the budget of calls that docs/CAPACITY.md keeps.
+/// Counts of calls, to compare with the budget of calls in docs/CAPACITY.md.
 struct KvCounts {
-  std::uint64_t Reads = 0;   ///< get()
-  std::uint64_t Writes = 0;  ///< cas()
-  std::uint64_t Watches = 0; ///< watch()
-  std::uint64_t Failed = 0;  ///< Ended Unavailable or Unknown.
+  std::uint64_t Reads = 0;   ///< Calls of get().
+  std::uint64_t Writes = 0;  ///< Calls of cas() and remove().
+  std::uint64_t Watches = 0; ///< Calls of watch().
+  std::uint64_t Failed = 0;  ///< Calls that ended Unavailable or Unknown.
 };
 
-/// The adapter. Keys are percent-free: letters, digits, `/`, `-`, `_`.
+/// Client of the KV API. Keys need no percent-encoding: they consist of
+/// letters, digits, `/`, `-` and `_`.
 class ConsulKv : public KvStore, public Service {
 public:
   /// \param Address IP:PORT of the service.
--- a/src/kv_tree.h
+++ b/src/kv_tree.h
@@ -1,4 +1,4 @@
-/// \file kv_tree.h Reading and following many keys of the key-value service.
+/// \file kv_tree.h Reading and watching many keys of the key-value service.
 #ifndef FULMARSTEP_KV_TREE_H
 #define FULMARSTEP_KV_TREE_H
 
@@ -8,74 +8,75 @@
 
 namespace fulmar {
 
-/// A key as it is, or as it has changed.
+/// A key with its current value, or a change of a key.
 struct KvItem {
-  std::string Key;            ///< Its whole name.
+  std::string Key;            ///< The full key.
   std::string Value;          ///< Bytes.
   std::uint64_t Revision = 0; ///< Of its latest change.
-  bool Deleted = false;       ///< It is gone; in changes only.
+  bool Deleted = false;       ///< It was deleted; in changes only.
 };
 
-/// What a call on many keys came to.
+/// The result of a call on many keys.
 struct KvItems {
-  KvStatus Status = KvStatus::Unavailable; ///< Whether the rest counts.
-  bool HistoryLost = false;   ///< Changes since then are not known any more.
-  bool Partial = false;       ///< More was there and was not wanted.
-  std::uint64_t Revision = 0; ///< Of the service, at the answer.
+  KvStatus Status = KvStatus::Unavailable; ///< Ok: the rest is valid.
+  bool HistoryLost = false;   ///< The changes to wait for are no longer kept.
+  bool Partial = false;       ///< Further pages exist and were not requested.
+  std::uint64_t Revision = 0; ///< Of the service, when it responded.
   std::vector<KvItem> Items;  ///< Keys, or changes in order.
-  std::string Why;            ///< For logs, when it failed.
+  std::string Why;            ///< Cause of a failure, for logs.
 };
 
 /// The part of a key-value service that orders all changes by one revision.
 class KvTree {
 public:
   using ItemsFn = std::function<void(const KvItems &)>;
-  /// Hears what was read so far. \return Whether the rest is wanted.
-  using GoOnFn = std::function<bool(const KvItems &)>;
+  /// Receives the items read so far. \return Whether to read the next page.
+  using ContinueFn = std::function<bool(const KvItems &)>;
 
   virtual ~KvTree() = default;
-  /// Reads every key that begins with \p Prefix, as the service has it now.
-  /// \param GoOn is asked before each further page, if there is one.
+  /// Reads the current value of every key that begins with \p Prefix.
+  /// \param Continue is called before each further page is read.
   virtual void range(const std::string &Prefix, ItemsFn Done,
-                     GoOnFn GoOn = nullptr) = 0;
-  /// Waits for changes of such keys after \p Revision, for \p Wait at most;
-  /// without any, the answer is empty.
+                     ContinueFn Continue = nullptr) = 0;
+  /// Waits at most \p Wait for changes after \p Revision to keys that begin
+  /// with \p Prefix; the result is empty if there are none.
   virtual void follow(const std::string &Prefix, std::uint64_t Revision,
                       Duration Wait, ItemsFn Done) = 0;
 };
 
-/// The part of a key-value service that may come back from an older copy.
+/// The part of a key-value service that may be restored from an older copy.
 ///
-/// What was written since the copy is gone then, and its revisions are given
-/// out again. Each such return begins a new epoch. Revisions that this
-/// interface hands out hold the epoch in their upper bits, so that a later one
-/// is greater whatever the service did in between.
+/// A restore loses all writes since the copy was made, and their revisions are
+/// assigned again. Each restore begins a new epoch. The revisions that this
+/// interface returns hold the epoch in their upper bits, so that a later one is
+/// greater even if the service was restored in between.
 class KvEpochs {
 public:
-  /// Hears of a new epoch.
+  /// Receives the number of a new epoch.
   using EpochFn = std::function<void(std::uint64_t)>;
 
   virtual ~KvEpochs() = default;
-  /// \return The latest epoch that is known; 0: none was told.
+  /// \return The latest known epoch; 0: none is known yet.
   virtual std::uint64_t epoch() const = 0;
-  /// Takes in an epoch that another node has seen.
+  /// Takes in an epoch that another node has observed.
   virtual void heardEpoch(std::uint64_t Epoch) = 0;
-  /// Calls \p Fn when a later epoch is known, before an answer of it is told.
+  /// Calls \p Fn when a later epoch becomes known, before any response of that
+  /// epoch is delivered.
   virtual void onEpoch(EpochFn Fn) = 0;
 };
 
-/// The part of a key-value service that drops keys of processes that ended.
+/// The part of a key-value service that deletes the keys of ended processes.
 class KvLeases {
 public:
-  /// Hears a lease's name, or the revision of a write.
+  /// Receives the id of a lease, or the revision of a write.
   using NumberFn = std::function<void(KvStatus, std::uint64_t)>;
 
   virtual ~KvLeases() = default;
-  /// Takes a lease that ends unless it is renewed within \p Ttl.
+  /// Creates a lease that expires unless it is renewed within \p Ttl.
   virtual void grant(Duration Ttl, NumberFn Done) = 0;
-  /// Renews a lease; KvStatus::Conflict when it has ended.
+  /// Renews a lease; KvStatus::Conflict if it has expired.
   virtual void renew(std::uint64_t Lease, KvStore::WriteFn Done) = 0;
-  /// Writes a key, whatever it was, that is dropped with \p Lease.
+  /// Writes a key unconditionally; it is deleted when \p Lease expires.
   virtual void putLeased(const std::string &Key, const std::string &Value,
                          std::uint64_t Lease, NumberFn Done) = 0;
 };
--- a/src/kv_type.h
+++ b/src/kv_type.h
@@ -1,4 +1,4 @@
-/// \file kv_type.h The platform's key-value service, as decisions see it.
+/// \file kv_type.h Interface to the platform's key-value service.
 #ifndef FULMARSTEP_KV_TYPE_H
 #define FULMARSTEP_KV_TYPE_H
 
@@ -12,21 +12,21 @@
 
 /// How a call to the key-value service ended.
 enum class KvStatus {
-  Ok,          ///< Done; for a read, the entry is as the service has it.
+  Ok,          ///< Done; a read returns the current entry.
   Conflict,    ///< Compare-and-swap: the entry has changed; nothing written.
-  Unavailable, ///< Not done: no byte of the call got there, or it was refused.
+  Unavailable, ///< Not done: no byte was delivered, or it was refused.
   Unknown,     ///< No answer: a write may or may not have taken effect.
   Count,       ///< Number of statuses.
   Invalid,     ///< Not a status.
 };
 
-/// An entry and the index to compare with.
+/// An entry and its index for compare-and-swap.
 struct KvEntry {
   std::string Value;       ///< Bytes.
   std::uint64_t Index = 0; ///< Changes with each write; 0: no such entry.
 };
 
-/// The calls that fulmarstep makes. One adapter for each real service.
+/// The operations that fulmarstep uses. Each kind of service has an adapter.
 class KvStore {
 public:
   using ReadFn = std::function<void(KvStatus, const KvEntry &)>;
@@ -41,7 +41,7 @@
   /// Reads an entry once its index differs from \p Index, or after \p Wait.
   virtual void watch(const std::string &Key, std::uint64_t Index, Duration Wait,
                      ReadFn Done) = 0;
-  /// Removes an entry that nobody refers to any more.
+  /// Removes an entry that is no longer referenced.
   virtual void remove(const std::string &Key) = 0;
 };
 
