--- a/src/bulk.h
+++ b/src/bulk.h
@@ -1,4 +1,4 @@
-/// \file bulk.h Messages too large for a datagram, over ZeroMQ.
+/// \file bulk.h Transport over ZeroMQ for messages too large for a datagram.
 #ifndef FULMARSTEP_BULK_H
 #define FULMARSTEP_BULK_H
 
@@ -25,7 +25,7 @@
   BulkTransport(const BulkTransport &) = delete;
   BulkTransport &operator=(const BulkTransport &) = delete;
 
-  /// Sends one message; it may be lost, and nobody says so.
+  /// Sends one message. It may be lost without notice.
   void send(const HostPort &To, std::string_view Bytes);
 
 private:
--- a/src/datagram.h
+++ b/src/datagram.h
@@ -1,4 +1,4 @@
-/// \file datagram.h A UDP socket on the loop.
+/// \file datagram.h A UDP socket on the event loop.
 #ifndef FULMARSTEP_DATAGRAM_H
 #define FULMARSTEP_DATAGRAM_H
 
@@ -21,14 +21,14 @@
   DatagramSocket(const DatagramSocket &) = delete;
   DatagramSocket &operator=(const DatagramSocket &) = delete;
 
-  /// Sends one datagram; it may be lost, and nobody says so.
+  /// Sends one datagram. It may be lost without notice.
   void send(const HostPort &To, std::string_view Bytes);
 
 private:
   void drain();
 
-  EventLoop &Loop; ///< Where it runs.
-  ReceiveFn Fn;    ///< Gets each datagram.
+  EventLoop &Loop; ///< Polls the socket.
+  ReceiveFn Fn;    ///< Called for each datagram.
   int Fd = -1;     ///< The socket.
 };
 
--- a/src/peer_codec.h
+++ b/src/peer_codec.h
@@ -1,4 +1,5 @@
-/// \file peer_codec.h Bytes of messages and of stored values (protobuf).
+/// \file peer_codec.h Encodes and decodes messages and stored values as
+/// protobuf.
 #ifndef FULMARSTEP_PEER_CODEC_H
 #define FULMARSTEP_PEER_CODEC_H
 
@@ -10,22 +11,23 @@
 
 namespace fulmar {
 
-/// Encodes a message and signs it with the peers' key.
+/// Encodes a message and authenticates it with the key that all nodes share.
 std::string encodePeer(const PeerMessage &Message, std::string_view Key);
 
-/// Checks and decodes a message.
-/// \return Nothing when no key fits or the bytes are damaged.
+/// Authenticates and decodes a message.
+/// \return Nothing if neither key matches or the bytes are damaged.
 std::optional<PeerMessage> decodePeer(std::string_view Bytes,
                                       std::string_view Key,
                                       std::string_view PreviousKey);
 
-/// Decodes what a message's signature covers.
-/// \return Nothing when the bytes are damaged.
+/// Decodes the part of a message that its authentication code covers, without
+/// checking that.
+/// \return Nothing if the bytes are damaged.
 std::optional<PeerMessage> decodeSignedPart(const std::string &Bytes);
 
 /// Encodes a bundle for the key-value service.
 std::string encodeBundle(const SignedBundle &Bundle);
-/// Decodes a bundle; nothing when the bytes are damaged.
+/// Decodes a bundle; nothing if the bytes are damaged.
 std::optional<SignedBundle> decodeBundle(std::string_view Bytes);
 
 /// Encodes a shard's head.
--- a/src/peer_service.cpp
+++ b/src/peer_service.cpp
@@ -8,7 +8,7 @@
 
 namespace fulmar {
 
-/// Datagrams up to this size pass ordinary networks without being split.
+/// Datagrams up to this size in bytes pass ordinary networks unfragmented.
 static constexpr std::size_t MaxDatagramBytes = 1400;
 
 PeerService::PeerService(Kernel &K, const Settings &S, std::uint64_t Inc)
@@ -17,7 +17,7 @@
   EventLoop &Loop = K.find<LoopService>(service::Loop).Loop;
   Clock.Started = Timers.now();
   HostPort Local{Config.Host, static_cast<int>(Config.PeerPort)};
-  auto Receive = [this](std::string_view Bytes) { received(Bytes); };
+  auto Receive = [this](std::string_view Bytes) { receive(Bytes); };
   Datagrams = std::make_unique<DatagramSocket>(Loop, Local, Receive);
   Bulk = std::make_unique<BulkTransport>(Loop, Timers, Local, Receive);
 }
@@ -69,7 +69,7 @@
     send({Info->Host, Info->PeerPort}, std::move(Body));
 }
 
-void PeerService::received(std::string_view Bytes) {
+void PeerService::receive(std::string_view Bytes) {
   if (Key.empty())
     return;
   auto Message = decodePeer(Bytes, Key, Config.PreviousPeerKey);
@@ -77,10 +77,11 @@
     ++Counts.Strange;
     return;
   }
-  // A recorded message proves a key that its sender does not hold. Without the
-  // window, somebody on the network could repeat "this node is leaving". Its
-  // age is not looked at: the time of day may jump on either side, and a node
-  // whose clock stepped would be deaf and dumb until it steps back.
+  // A replayed message carries a valid authentication code although whoever
+  // replays it has no key: without the window, anybody on the network could
+  // repeat "this node is leaving". The age of a message is not checked: the
+  // wall clock of either side may jump, and a node whose clock stepped could
+  // neither send nor receive until it steps back.
   if (!windowAccept(Windows[Message->Sender], Message->Incarnation,
                     Message->Sequence)) {
     ++Counts.Replayed;
--- a/src/peer_service.h
+++ b/src/peer_service.h
@@ -18,14 +18,14 @@
 
 namespace fulmar {
 
-/// Counts for operators and for docs/CAPACITY.md.
+/// Message counts, for metrics and for docs/CAPACITY.md.
 struct PeerCounts {
-  std::uint64_t SentMessages = 0;  ///< All.
-  std::uint64_t SentBytes = 0;     ///< Payload bytes of them.
-  std::uint64_t Received = 0;      ///< Taken in.
-  std::uint64_t ReceivedBytes = 0; ///< Payload bytes of them.
-  std::uint64_t Strange = 0;       ///< Damaged, or made without a key.
-  std::uint64_t Replayed = 0;      ///< Seen before.
+  std::uint64_t SentMessages = 0;  ///< Messages sent.
+  std::uint64_t SentBytes = 0;     ///< Payload bytes sent.
+  std::uint64_t Received = 0;      ///< Messages accepted.
+  std::uint64_t ReceivedBytes = 0; ///< Payload bytes accepted.
+  std::uint64_t Strange = 0;       ///< Damaged, without a valid key, or own.
+  std::uint64_t Replayed = 0;      ///< Received before.
 };
 
 /// Authenticated messages between nodes: datagrams where they fit, ZeroMQ for
@@ -48,49 +48,51 @@
     };
   }
 
-  /// Called for every message that is taken in, before its handler.
+  /// Sets a function that is called for every accepted message, before the
+  /// handler of its body.
   void onAny(AnyHandler Fn) { Any = std::move(Fn); }
 
-  /// Takes the secret and the incarnation of this process, where they are not
-  /// in the settings. Before that, nothing is sent or taken in.
+  /// Sets the secret and the incarnation of this process where the settings do
+  /// not hold them. Until there is a secret, nothing is sent or accepted.
   void join(std::string Secret, std::uint64_t Inc);
 
-  /// Sends to an address.
+  /// Sends a message to an address.
   void send(const HostPort &To, PeerBody Body);
-  /// Sends to a node, if membership knows it.
+  /// Sends a message to a node; dropped if membership does not know the node.
   void sendTo(const std::string &Node, PeerBody Body);
 
-  /// Sets what every message says of the bundle in force.
+  /// Sets the version and hash of the bundle in force that every message
+  /// carries.
   void announceBundle(std::uint64_t Version, std::uint64_t RootHash);
 
-  /// Sets what every message says of the nodes that this one knows.
+  /// Sets the digest of the nodes known here that every message carries.
   void announceMembers(std::uint64_t Digest) { Views.Own = Digest; }
   /// \return Whether the other nodes know the same nodes.
   bool membersAgree() const { return viewsAgree(Views, Timers.now()); }
   /// \return The fleet's time, as this node knows it.
   const FleetClock &clock() const { return Clock; }
-  /// \return Counts so far.
+  /// \return The message counts so far.
   const PeerCounts &counts() const { return Counts; }
 
 private:
-  void received(std::string_view Bytes);
+  void receive(std::string_view Bytes);
 
-  Kernel &Services;                ///< Finds the others.
-  TimerService &Timers;            ///< Time.
+  Kernel &Services;                ///< Finds other services.
+  TimerService &Timers;            ///< Clock and timers.
   const Settings &Config;          ///< Keys and addresses.
   std::string Key;                 ///< Secret shared by all nodes.
   std::uint64_t Incarnation = 0;   ///< Of this process.
-  std::uint64_t LastSequence = 0;  ///< Counts messages.
-  std::uint64_t BundleVersion = 0; ///< In force here.
-  std::uint64_t BundleRoot = 0;    ///< First bytes of its hash.
+  std::uint64_t LastSequence = 0;  ///< Of the last message sent.
+  std::uint64_t BundleVersion = 0; ///< Of the bundle in force here.
+  std::uint64_t BundleRoot = 0;    ///< First bytes of its content hash.
   std::array<AnyHandler, std::variant_size_v<PeerBody>> Handlers; ///< By body.
-  AnyHandler Any;                                      ///< For every message.
+  AnyHandler Any; ///< Called for every message.
   std::unordered_map<std::string, PeerWindow> Windows; ///< By sender.
-  FleetClock Clock;                                    ///< Shared by all nodes.
-  MemberViews Views;                                   ///< Who knows whom.
-  PeerCounts Counts;                                   ///< For operators.
-  std::unique_ptr<DatagramSocket> Datagrams;           ///< Small messages.
-  std::unique_ptr<BulkTransport> Bulk;                 ///< Large messages.
+  FleetClock Clock;                                    ///< Fleet time.
+  MemberViews Views;                         ///< Which nodes know which.
+  PeerCounts Counts;                         ///< For metrics.
+  std::unique_ptr<DatagramSocket> Datagrams; ///< Small messages.
+  std::unique_ptr<BulkTransport> Bulk;       ///< Large messages.
 };
 
 } // namespace fulmar
--- a/src/peer_type.h
+++ b/src/peer_type.h
@@ -16,23 +16,23 @@
 
 namespace fulmar {
 
-/// Ask for what leads to the receiver's bundle.
+/// Requests the changes from the sender's bundle to the receiver's.
 struct BundleFetch {
-  std::uint64_t HaveVersion = 0; ///< Version here.
-  Digest HaveRoot = {};          ///< Content here.
+  std::uint64_t HaveVersion = 0; ///< Version at the sender.
+  Digest HaveRoot = {};          ///< Content hash at the sender.
 };
-/// One node's demand of an organisation, to its home.
+/// One node's demand of an organisation, sent to the organisation's home node.
 struct DemandReport {
-  std::string Organisation; ///< Whose.
-  double Rate = 0;          ///< Requests/s.
+  std::string Organisation; ///< Its name.
+  double Rate = 0;          ///< Requests per second.
 };
-/// The fleet's demand of an organisation, from its home.
+/// The fleet's demand of an organisation, sent by its home node.
 struct DemandTotal {
-  std::string Organisation; ///< Whose.
-  double Rate = 0;          ///< Requests/s.
+  std::string Organisation; ///< Its name.
+  double Rate = 0;          ///< Requests per second.
 };
 
-/// What a message is about.
+/// The content of a message.
 using PeerBody =
     std::variant<MemberMessage, LedgerEntry, LedgerResult, BundleFetch,
                  BundleDelta, DemandReport, DemandTotal, BatchRequestMessage,
@@ -41,17 +41,17 @@
                  QuarantineUpdate, QuarantineObjection, RateLimitUpdate,
                  TurnAsk, TurnAnswer, RetryAsk, RetryAnswer>;
 
-/// A message between nodes, with what every message says.
+/// A message between nodes, with the fields that every message has.
 struct PeerMessage {
-  std::string Sender;              ///< Node id.
+  std::string Sender;              ///< Id of the node that sent it.
   std::uint64_t Incarnation = 0;   ///< Of the sender's process.
-  std::uint64_t Sequence = 0;      ///< Counts its messages.
-  WallMs SentMs = 0;               ///< When it was sent.
-  std::uint64_t BundleVersion = 0; ///< In force there.
-  std::uint64_t BundleRoot = 0;    ///< First bytes of its content hash.
-  PeerBody Body;                   ///< What it is about.
-  Duration FleetTime{};            ///< When it was sent, by the fleet's time.
-  std::uint64_t MemberDigest = 0;  ///< Of the nodes that its sender knows.
+  std::uint64_t Sequence = 0;      ///< Number of the message; counts up.
+  WallMs SentMs = 0;               ///< Wall clock time of sending, Unix ms.
+  std::uint64_t BundleVersion = 0; ///< Version in force at the sender.
+  std::uint64_t BundleRoot = 0;    ///< First bytes of that bundle's hash.
+  PeerBody Body;                   ///< The content.
+  Duration FleetTime{};            ///< Fleet time of sending.
+  std::uint64_t MemberDigest = 0;  ///< Of the nodes that the sender knows.
 };
 
 } // namespace fulmar
