--- a/src/peer_service.h
+++ b/src/peer_service.h
@@ -89,10 +89,10 @@
   AnyHandler Any; ///< Called for every message.
   std::unordered_map<std::string, PeerWindow> Windows; ///< By sender.
   FleetClock Clock;                                    ///< Fleet time.
-  MemberViews Views;                         ///< Which nodes know which.
-  PeerCounts Counts;                         ///< For metrics.
-  std::unique_ptr<DatagramSocket> Datagrams; ///< Small messages.
-  std::unique_ptr<BulkTransport> Bulk;       ///< Large messages.
+  MemberViews Views;                                   ///< What peers know.
+  PeerCounts Counts;                                   ///< For metrics.
+  std::unique_ptr<DatagramSocket> Datagrams;           ///< Small messages.
+  std::unique_ptr<BulkTransport> Bulk;                 ///< Large messages.
 };
 
 } // namespace fulmar
