--- a/tests/fuzz/fuzz_readers.cpp
+++ b/tests/fuzz/fuzz_readers.cpp
@@ -1,7 +1,9 @@
-/// \file fuzz_readers.cpp Any bytes for the readers of what others write.
+/// \file fuzz_readers.cpp Fuzzes the readers of data that other programs
+/// write.
 ///
-/// The first byte chooses the reader, the rest is its input. A reader may
-/// refuse anything; it must end, and stay within its memory.
+/// The first byte selects the reader, the rest is its input. A reader may
+/// reject any input; it must terminate and must not access memory out of
+/// bounds.
 #include <cstdint>
 #include <cstdlib>
 
@@ -12,7 +14,8 @@
 
 namespace {
 
-/// Entries that can be used say where to and what for.
+/// An accepted entry must have an address, a pool, slots and a cold time that
+/// is not negative.
 void readEntry(std::string_view Text) {
   std::string Why;
   auto Entry = platform::Wire().readUpstream("servers/a", Text, Why);
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -1,4 +1,4 @@
-/// \file test_platform.cpp The adapter to the users' platform.
+/// \file test_platform.cpp Tests of the adapter to the platform.
 #include <catch2/catch.hpp>
 
 #include "gateway_settings_func.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A store and a client before it.
+/// A stand-in of the store and a client of it.
 struct StoreWorld {
   TimerService Timers;
   EventLoop Loop{Timers};
@@ -63,7 +63,7 @@
 
 } // namespace
 
-SCENARIO("the store's calls") {
+SCENARIO("the client reads, writes and watches keys of the store") {
   StoreWorld W;
   GIVEN("more keys than fit a page") {
     for (int I = 0; I < 50; ++I)
@@ -74,7 +74,7 @@
     CHECK(Found.Items.size() == 50);
     CHECK(Found.Revision == 51);
   }
-  GIVEN("conditions") {
+  GIVEN("conditional writes") {
     CHECK(W.cas("k", "one", 0) == KvStatus::Ok);
     CHECK(W.cas("k", "two", 0) == KvStatus::Conflict);
     CHECK(W.cas("k", "two", 1) == KvStatus::Ok);
@@ -82,17 +82,17 @@
   }
   GIVEN("a write whose answer is lost") {
     W.Store.Mode = StoreMode::Losing;
-    THEN("nobody says that it was not done") {
+    THEN("the outcome is unknown") {
       CHECK(W.cas("k", "one", 0) == KvStatus::Unknown);
       CHECK(W.Store.value("k") == "one");
     }
   }
-  GIVEN("a store that refuses") {
+  GIVEN("a store that refuses all calls") {
     W.Store.Mode = StoreMode::Refusing;
     CHECK(W.cas("k", "one", 0) == KvStatus::Unavailable);
     CHECK(W.range("k").Status == KvStatus::Unavailable);
   }
-  GIVEN("changes to wait for") {
+  GIVEN("a watch for changes") {
     W.Store.put("op/x", "one");
     CHECK(W.follow("op/", 0, seconds(1)).Items.size() == 1);
     CHECK(W.follow("op/", 1, milliseconds(30)).Items.empty());
@@ -122,11 +122,10 @@
   }
 }
 
-SCENARIO("what is read in several pages changes meanwhile") {
-  // Symptom: a change is never heard, although nothing was lost.
-  // Sequence: a read's first page is answered; a key of it changes; the last
-  // page is answered; the reader follows from its revision on.
-  // Cause: the revision of the last page was taken for that of the read.
+SCENARIO("a key changes between two pages of a read") {
+  // Guards against a missed change: a key of the first page changes before the
+  // last page is read, and the reader then watches from the revision of the
+  // last page, as if it were the revision of the whole read.
   StoreWorld W;
   for (int I = 10; I < 50; ++I)
     W.Store.put("op/" + std::to_string(I), "old");
@@ -143,7 +142,7 @@
   CHECK(Changes.Items[0].Value == "new");
 }
 
-SCENARIO("the platform's messages are read into our types") {
+SCENARIO("messages of the platform are converted") {
   platform::Wire Wire;
   std::string Why;
   GIVEN("a configuration") {
@@ -168,7 +167,7 @@
     CHECK(findService(*Table, "s")->Batch->RoomBytes == 1.5e6);
     CHECK(findOrganisation(*Table, "k")->Priority == 3);
   }
-  GIVEN("configurations that make no sense") {
+  GIVEN("invalid configurations") {
     CHECK_FALSE(Wire.readRoutes("{", Why));
     CHECK_FALSE(Wire.readRoutes(
         R"({"routes":[{"name":"r","kind":"magic","service":"p"}]})", Why));
@@ -198,7 +197,7 @@
     CHECK(Ask.Key == "key");
     CHECK(Ask.LastEvent == 12);
   }
-  GIVEN("the answer to a call for pieces") {
+  GIVEN("the response to a batch call") {
     HttpAnswer Answer;
     Answer.Status = 200;
     Answer.MaySent = true;
@@ -219,7 +218,7 @@
   }
 }
 
-SCENARIO("an operator writes a forwarding node's settings") {
+SCENARIO("errors in a forwarding node's settings name the setting") {
   Diagnostics Wrong;
   parseGatewaySettings(R"({"node_id": "n", "caller_address": "nowhere at all",
     "grace": 3})",
@@ -232,7 +231,8 @@
 
 namespace {
 
-/// A fleet of \p Size nodes in three failure domains, as node \p Self knows it.
+/// \return The view of node \p Self of a fleet of \p Size nodes in three
+/// failure domains.
 Membership fleetOf(int Size, int Self) {
   Membership M;
   for (int I = 0; I < Size; ++I) {
@@ -252,15 +252,15 @@
 SCENARIO("few nodes read the key-value service for the others") {
   Membership M = fleetOf(12, 0);
   std::string Reader = chooseReader(M);
-  THEN("in a small fleet all choose the same one, whatever their domain") {
-    // Symptom: nine nodes in three failure domains make 15 calls a second.
-    // Sequence: a reader of each domain follows the configuration and reads the
-    // list.
-    // Cause: what one of them has read was told only within its domain.
+  THEN("in a small fleet all nodes choose the same reader, in any domain") {
+    // Guards against one reader for each failure domain, each of which watches
+    // the configuration and reads the list, since what a reader had read was
+    // sent only within its domain: nine nodes in three domains made 15 calls a
+    // second.
     for (int Node = 0; Node < 12; ++Node)
       CHECK(chooseReader(fleetOf(12, Node)) == Reader);
   }
-  THEN("in a large one there are a few, and nodes ask one of their domain") {
+  THEN("a large fleet has several readers, and nodes use one of their domain") {
     std::map<std::string, std::string> ReaderOf;
     std::set<std::string> Readers;
     for (int Node = 0; Node < 295; ++Node) {
@@ -280,7 +280,7 @@
       CHECK((!InDomain || DomainOf(Chosen) == DomainOf(Node)));
     }
   }
-  THEN("one that cannot read the service is not chosen") {
+  THEN("a node that cannot read the service is not chosen") {
     if (Reader == "n0")
       M.Self.Unfit = true;
     else
@@ -288,7 +288,7 @@
     std::string Next = chooseReader(M);
     CHECK((Next != Reader || Next == "n0"));
   }
-  THEN("when none can, the same one goes on trying for all") {
+  THEN("if no node can read it, the reader stays the same") {
     M.Self.Unfit = true;
     for (auto &[Id, Other] : M.Members)
       Other.Info.Unfit = true;
@@ -304,16 +304,16 @@
 
 } // namespace
 
-SCENARIO("a node takes over what another one's list has besides its own") {
-  // Symptom: each upstream that comes or goes is read from the key-value
-  // service by every node: 904 reads in a minute of 75 nodes.
-  // Sequence: a reader tells that its list is another one now.
-  // Cause: it told only that, not what has changed.
+SCENARIO("a node applies the changes of another node's list of upstreams") {
+  // Guards against a reader that announces only that its list has changed, not
+  // what has changed: every node then reads the key-value service for each
+  // upstream that appears or leaves, which made 904 reads in a minute of 75
+  // nodes.
   UpstreamRegistry Reader;
   UpstreamRegistry Other;
   std::vector<UpstreamEntry> Everywhere;
   registryRead(Reader, {listed("a"), listed("b")}, TimePoint{seconds(1)});
-  THEN("who has none gets all of it") {
+  THEN("a node without a list receives all of it") {
     auto Change = registryChangesSince(Reader, Other.Digest);
     REQUIRE(Change);
     CHECK(registryApply(Other, *Change, TimePoint{seconds(1)}));
@@ -327,7 +327,7 @@
                  TimePoint{seconds(2)});
     registryRead(Reader, {listed("b"), listed("c", true)},
                  TimePoint{seconds(3)});
-    THEN("the changes lead there at once") {
+    THEN("all changes are sent at once") {
       auto Change = registryChangesSince(Reader, Other.Digest);
       REQUIRE(Change);
       CHECK(Change->Listed.size() == 1);
@@ -337,20 +337,20 @@
       CHECK(Other.Digest == Reader.Digest);
       CHECK(Other.ReadAt == TimePoint{seconds(3)});
     }
-    THEN("a list that is not the one they begin at stays as it is") {
+    THEN("they do not apply to a list with another digest") {
       auto Change = registryChangesSince(Reader, Other.Digest);
       registryRead(Other, {listed("d")}, TimePoint{seconds(3)});
       CHECK_FALSE(registryApply(Other, *Change, TimePoint{seconds(4)}));
       CHECK(Other.Entries.count("d") == 1);
     }
-    THEN("a list that is too old gets none") {
+    THEN("there are no changes for a list that is too old") {
       for (int I = 0; I < 40; ++I)
         registryRead(Reader, {listed("x" + std::to_string(I))},
                      TimePoint{seconds(4 + I)});
       CHECK_FALSE(registryChangesSince(Reader, Other.Digest));
     }
   }
-  GIVEN("a list that was read at a moment of its own") {
+  GIVEN("a list that was read at another time") {
     for (int I = 0; I < 3000; ++I)
       Everywhere.push_back(listed("i" + std::to_string(I)));
     registryRead(Reader, Everywhere, TimePoint{seconds(2)});
@@ -362,7 +362,7 @@
     Everywhere.push_back(listed("new"));
     registryRead(Reader, Everywhere, TimePoint{seconds(4)});
     REQUIRE_FALSE(registryChangesSince(Reader, Other.Digest));
-    THEN("what differs is a small part of it") {
+    THEN("only the buckets that differ are sent") {
       RegistryChange Change =
           registryBucketsSince(Reader, Other.Digest, Other.Buckets);
       CHECK(Change.Listed.size() < 150);
@@ -370,21 +370,21 @@
       CHECK(Other.Entries == Reader.Entries);
       CHECK(Other.Digest == Reader.Digest);
     }
-    THEN("where all of it differs, it comes in parts that are bounded") {
-      UpstreamRegistry Vacant;
-      registryRead(Vacant, {}, TimePoint{seconds(1)});
+    THEN("a list that differs everywhere is sent in bounded parts") {
+      UpstreamRegistry Empty;
+      registryRead(Empty, {}, TimePoint{seconds(1)});
       int Answers = 0;
-      while (Vacant.Digest != Reader.Digest && ++Answers < 20) {
+      while (Empty.Digest != Reader.Digest && ++Answers < 20) {
         RegistryChange Change =
-            registryBucketsSince(Reader, Vacant.Digest, Vacant.Buckets);
+            registryBucketsSince(Reader, Empty.Digest, Empty.Buckets);
         CHECK(Change.Listed.size() <= 500);
-        REQUIRE(registryApply(Vacant, Change, TimePoint{seconds(4)}));
+        REQUIRE(registryApply(Empty, Change, TimePoint{seconds(4)}));
       }
       CHECK(Answers < 10);
-      CHECK(Vacant.Entries == Reader.Entries);
+      CHECK(Empty.Entries == Reader.Entries);
     }
   }
-  THEN("lists differ by what matters") {
+  THEN("a list with a changed entry has another digest") {
     registryRead(Other, {listed("a"), listed("b", true)},
                  TimePoint{seconds(1)});
     CHECK(Other.Digest != Reader.Digest);
--- a/tests/test_readers.cpp
+++ b/tests/test_readers.cpp
@@ -1,4 +1,5 @@
-/// \file test_readers.cpp Nodes that hear of the key-value service from others.
+/// \file test_readers.cpp Tests of nodes that receive the state of the
+/// key-value service from other nodes.
 #include <catch2/catch.hpp>
 
 #include "gateway_world.h"
@@ -12,12 +13,10 @@
 
 SCENARIO("a node that cannot read the key-value service follows the "
          "configuration") {
-  // Symptom: for as long as the service turns some nodes away, these refuse
-  // requests that the others serve, and each asks the service ten times a
-  // second.
-  // Sequence: the service turns a node away; a new version is written; the node
-  // hears from its reader that there is one, and tries to read it.
-  // Cause: a reader told which version there is, not what it says.
+  // Guards against a reader that sends only the number of a new version, not
+  // its content. A node that the service refuses then tries to read the version
+  // itself: as long as it is refused, it rejects requests that the other nodes
+  // serve, and calls the service ten times a second.
   GatewayWorld W;
   W.addRunner("plain", {"p1"});
   W.configure();
@@ -25,36 +24,37 @@
   TcpProxy Link(W.Loop, "127.0.0.1", 0, W.Store.address());
   W.StoreAddress = "127.0.0.1:" + std::to_string(Link.port());
   W.addNode();
-  auto Pass = [&](Duration Time) {
+  auto RunFor = [&](Duration Time) {
     TimePoint End = W.Timers.now() + Time;
     runUntil(
         W.Loop, [&] { return W.Timers.now() >= End; }, Time + seconds(1));
   };
-  auto Ask = [&](const std::string &Key) {
-    auto Got = W.send("/get/x", {{"Authorization", "Bearer " + Key}}, 1);
+  auto StatusFor = [&](const std::string &Key) {
+    auto Reply = W.send("/get/x", {{"Authorization", "Bearer " + Key}}, 1);
     runUntil(
-        W.Loop, [&] { return Got->Ended; }, seconds(3));
-    return Got->Answer.Status;
+        W.Loop, [&] { return Reply->Ended; }, seconds(3));
+    return Reply->Answer.Status;
   };
   Link.setMode(ProxyMode::Reset);
-  Pass(seconds(3)); // It is known as unfit, so the other node reads for it.
+  RunFor(seconds(
+      3)); // The node is now known as unfit; the other one reads for it.
   W.Keys = "\"key-b\"";
   W.configure();
-  Pass(seconds(2));
-  THEN("it takes new keys and refuses those that were taken away") {
-    CHECK(Ask("key-b") == 200);
-    CHECK(Ask("key-a") == 401);
+  RunFor(seconds(2));
+  THEN("it accepts new keys and refuses revoked ones") {
+    CHECK(StatusFor("key-b") == 200);
+    CHECK(StatusFor("key-a") == 401);
   }
-  THEN("it goes on serving, and hardly asks the service") {
-    Pass(seconds(4));
-    CHECK(Ask("key-b") == 200);
+  THEN("it continues to serve requests") {
+    RunFor(seconds(4));
+    CHECK(StatusFor("key-b") == 200);
   }
 }
 
-SCENARIO("a new version is read by few nodes") {
-  // Symptom: a fleet of 295 nodes reads a configuration 295 times.
-  // Sequence: a version is written; each node hears of it from its reader.
-  // Cause: each then read it itself.
+SCENARIO("nodes receive a new version without reading it themselves") {
+  // Guards against nodes that learn of a new version from their reader and then
+  // each read it themselves: a fleet of 295 nodes read a configuration 295
+  // times.
   GatewayWorld W;
   W.addRunner("plain", {"p1"});
   W.configure();
