--- a/src/json_func.h
+++ b/src/json_func.h
@@ -10,33 +10,33 @@
 
 namespace fulmar {
 
-/// How strictly JSON is read.
+/// Which syntax the JSON parser accepts.
 enum class JsonDialect {
-  Strict,       ///< As callers and upstreams must send it.
-  WithComments, ///< As operators write it in files.
+  Strict,       ///< Standard JSON, for messages of callers and upstreams.
+  WithComments, ///< JSON with comments, for files of operators.
   Count,        ///< Number of dialects.
   Invalid,      ///< Not a dialect.
 };
 
-/// Parses \p Text; repeated keys and trailing text are errors.
-/// \param[out] Wrong receives what is wrong, with lines.
-/// \return Nothing when there was an error.
+/// Parses \p Text. Duplicate keys and trailing text are errors.
+/// \param[out] Wrong receives the errors, each with its line.
+/// \return The value, or nullopt after an error.
 std::optional<Json> parseJson(std::string_view Text, JsonDialect Dialect,
                               Diagnostics &Wrong);
 
-/// Writes \p Value on one line, keys in sorted order, so that equal values
-/// give equal text.
+/// Serializes \p Value on one line with sorted keys, so that equal values give
+/// equal text.
 std::string writeJson(const Json &Value);
 
-/// Writes \p Text as a JSON string with its quotes, without building a value
-/// first: for streamed tokens.
+/// Serializes \p Text as a quoted JSON string without building a Json value;
+/// used for each streamed token.
 std::string quoteJson(const std::string &Text);
 
 /// Reads a whole file.
 /// \throws Error FileUnreadable.
 std::string readFile(const std::string &Path);
 
-/// Writes a whole file.
+/// Replaces the content of a file.
 /// \throws Error FileUnreadable.
 void writeFile(const std::string &Path, std::string_view Text);
 
--- a/src/json_type.h
+++ b/src/json_type.h
@@ -1,4 +1,4 @@
-/// \file json_type.h A JSON value that knows the line it came from.
+/// \file json_type.h A JSON value with its line in the source text.
 #ifndef FULMARSTEP_JSON_TYPE_H
 #define FULMARSTEP_JSON_TYPE_H
 
@@ -13,7 +13,7 @@
 enum class JsonKind {
   Null,    ///< null
   Bool,    ///< true or false
-  Number,  ///< Any number.
+  Number,  ///< A number.
   Text,    ///< A string.
   List,    ///< An array.
   Object,  ///< An object.
@@ -23,13 +23,14 @@
 
 /// A JSON value as a plain tree.
 struct Json {
-  JsonKind Kind = JsonKind::Null; ///< Which of the members below counts.
-  bool Bool = false;              ///< Value of a Bool.
-  double Number = 0;              ///< Value of a Number.
-  std::string Text;               ///< Value of a Text, in UTF-8.
-  std::vector<Json> Items;        ///< Items of a List.
-  std::vector<std::pair<std::string, Json>> Members; ///< Of an Object.
-  int Line = 0; ///< Line in the file it was read from, from 1.
+  JsonKind Kind = JsonKind::Null; ///< Selects the member that holds the value.
+  bool Bool = false;              ///< Value if Kind is Bool.
+  double Number = 0;              ///< Value if Kind is Number.
+  std::string Text;               ///< Value if Kind is Text, in UTF-8.
+  std::vector<Json> Items;        ///< Items if Kind is List.
+  std::vector<std::pair<std::string, Json>>
+      Members;  ///< Members if Kind is Object.
+  int Line = 0; ///< Line in the parsed text, from 1; 0 if not parsed.
 
   Json() = default;
   Json(bool B) : Kind(JsonKind::Bool), Bool(B) {}
@@ -40,7 +41,7 @@
   Json(std::string T) : Kind(JsonKind::Text), Text(std::move(T)) {}
   Json(const char *T) : Json(std::string(T)) {}
 
-  /// \return The member called \p Name, or nullptr.
+  /// \return The first member named \p Name, or nullptr.
   const Json *find(std::string_view Name) const {
     for (const auto &[Key, Value] : Members) {
       if (Key != Name)
@@ -50,34 +51,34 @@
     return nullptr;
   }
 
-  /// Appends a member and makes this an object; for building answers.
+  /// Appends a member and makes this value an object.
   Json &set(std::string Name, Json Value) {
     Kind = JsonKind::Object;
     Members.emplace_back(std::move(Name), std::move(Value));
     return *this;
   }
 
-  /// Appends an item and makes this a list.
+  /// Appends an item and makes this value a list.
   Json &push(Json Value) {
     Kind = JsonKind::List;
     Items.push_back(std::move(Value));
     return *this;
   }
 
-  /// \return The text of the member \p Name, or \p Default.
+  /// \return The string member \p Name, or \p Default.
   std::string text(std::string_view Name,
                    const std::string &Default = {}) const {
     const Json *Value = find(Name);
     return Value && Value->Kind == JsonKind::Text ? Value->Text : Default;
   }
 
-  /// \return The number of the member \p Name, or \p Default.
+  /// \return The number member \p Name, or \p Default.
   double number(std::string_view Name, double Default = 0) const {
     const Json *Value = find(Name);
     return Value && Value->Kind == JsonKind::Number ? Value->Number : Default;
   }
 
-  /// \return The truth value of the member \p Name, or \p Default.
+  /// \return The Boolean member \p Name, or \p Default.
   bool flag(std::string_view Name, bool Default = false) const {
     const Json *Value = find(Name);
     return Value && Value->Kind == JsonKind::Bool ? Value->Bool : Default;
