--- a/src/http_type.cpp
+++ b/src/http_type.cpp
@@ -1,4 +1,4 @@
-/// \file http_type.cpp Headers and statuses of HTTP.
+/// \file http_type.cpp HTTP headers and status codes.
 #include "http_type.h"
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 namespace fulmar {
 
 static bool sameName(std::string_view A, std::string_view B) {
-  auto SameLetter = [](unsigned char X, unsigned char Y) {
+  auto EqualLetter = [](unsigned char X, unsigned char Y) {
     return std::tolower(X) == std::tolower(Y);
   };
   return A.size() == B.size() &&
-         std::equal(A.begin(), A.end(), B.begin(), SameLetter);
+         std::equal(A.begin(), A.end(), B.begin(), EqualLetter);
 }
 
 const HttpHeader *findHeader(const HttpHeaders &Headers,
@@ -31,16 +31,16 @@
 }
 
 bool isHopHeader(const HttpHeaders &Headers, std::string_view Name) {
-  static constexpr std::string_view Hops[] = {
+  static constexpr std::string_view HopByHop[] = {
       "Connection", "Keep-Alive",        "Proxy-Connection", "TE",    "Trailer",
       "Upgrade",    "Transfer-Encoding", "Content-Length",   "Expect"};
-  for (std::string_view Hop : Hops) {
-    if (sameName(Hop, Name))
+  for (std::string_view HopName : HopByHop) {
+    if (sameName(HopName, Name))
       return true;
   }
   std::string Listed = headerValue(Headers, "Connection");
-  for (std::string_view Item : splitCommas(Listed)) {
-    if (sameName(Item, Name))
+  for (std::string_view ListedName : splitCommas(Listed)) {
+    if (sameName(ListedName, Name))
       return true;
   }
   return false;
--- a/src/http_type.h
+++ b/src/http_type.h
@@ -1,4 +1,5 @@
-/// \file http_type.h Names shared by the HTTP server and client.
+/// \file http_type.h HTTP headers and status codes shared by the server and the
+/// client.
 #ifndef FULMARSTEP_HTTP_TYPE_H
 #define FULMARSTEP_HTTP_TYPE_H
 
@@ -8,30 +9,31 @@
 
 namespace fulmar {
 
-/// One header line.
+/// One header field.
 struct HttpHeader {
-  std::string Name;  ///< Any case.
-  std::string Value; ///< Without line ends.
+  std::string Name;  ///< Case-insensitive.
+  std::string Value; ///< Without the line end.
 };
 using HttpHeaders = std::vector<HttpHeader>;
 
-/// \return The header called \p Name in any case, or nullptr.
+/// \return The first header named \p Name, ignoring case, or nullptr.
 const HttpHeader *findHeader(const HttpHeaders &Headers, std::string_view Name);
 
-/// \return The value of the header \p Name, or empty.
+/// \return The value of the header \p Name, or an empty string.
 std::string headerValue(const HttpHeaders &Headers, std::string_view Name);
 
-/// \return Whether \p Name is a header that concerns one connection only, or
-/// one that \p Headers lists as such in its Connection line.
+/// \return Whether \p Name is a hop-by-hop header: a standard one, or one that
+/// the Connection header in \p Headers lists.
 bool isHopHeader(const HttpHeaders &Headers, std::string_view Name);
 
-/// \return The usual phrase for a status.
+/// \return The standard reason phrase of a status code.
 std::string_view statusPhrase(int Status);
 
-inline constexpr int HttpOk = 200;              ///< Status of a good answer.
-inline constexpr int HttpTooManyRequests = 429; ///< Status of a rate limit.
+inline constexpr int HttpOk = 200; ///< Status code for success.
+inline constexpr int HttpTooManyRequests =
+    429; ///< Status code for a rate limit.
 
-/// Headers that the interfaces of this project use.
+/// Header names used by the HTTP interfaces of this project.
 namespace header {
 inline constexpr const char *IdempotencyKey = "Idempotency-Key";
 inline constexpr const char *RequestId = "X-Request-Id";
