--- a/src/histogram_base.h
+++ b/src/histogram_base.h
@@ -9,11 +9,11 @@
 
 namespace fulmar {
 
-/// Counts of values by size, with their number, sum and extremes (Boost).
+/// Counts values per bucket, with their total count and sum.
 class Histogram {
 public:
-  /// \param Edges upper edges of the buckets, rising; one more bucket holds
-  /// what is above the last.
+  /// \param Edges upper bounds of the buckets in ascending order; an overflow
+  /// bucket holds larger values.
   explicit Histogram(std::span<const double> Edges);
   ~Histogram();
   Histogram(Histogram &&) noexcept;
@@ -21,23 +21,26 @@
 
   /// Adds one value.
   void add(double Value);
-  /// \return How many values were added.
+  /// \return Number of values added.
   std::uint64_t count() const;
-  /// \return Their sum.
+  /// \return Sum of the values added.
   double sum() const;
-  /// \return How many are at or below the edge \p Index; past the last: all.
+  /// \return Number of values at or below the edge \p Index; an index past the
+  /// last edge counts all values.
   std::uint64_t atMost(std::size_t Index) const;
-  /// \return An estimate of a quantile, from the bucket edges.
+  /// \return The upper edge of the bucket that contains the quantile \p Q
+  /// (0 to 1); the last edge for the overflow bucket, 0 without values.
   double quantile(double Q) const;
-  /// \return The edges.
+  /// \return Upper edges of the buckets.
   const std::vector<double> &edges() const;
 
 private:
   struct Impl;
-  std::unique_ptr<Impl> Data; ///< Keeps Boost out of this header.
+  std::unique_ptr<Impl> Data; ///< Hides Boost from this header.
 };
 
-/// Upper edges in ms that fit everything from one token to a whole deadline.
+/// Upper bucket edges in ms, for latencies from one token up to a whole
+/// deadline.
 std::span<const double> latencyEdgesMs();
 
 } // namespace fulmar
--- a/src/quantile_base.h
+++ b/src/quantile_base.h
@@ -7,17 +7,17 @@
 
 namespace fulmar {
 
-/// The quantiles that decisions use.
+/// The quantiles that are estimated.
 enum class Quantile {
-  Low,     ///< 0.1: what a call takes without waiting inside the upstream.
+  Low,     ///< 0.1: latency of a call that does not queue at the upstream.
   Median,  ///< 0.5.
-  High,    ///< 0.9: what admission counts on.
-  Tail,    ///< 0.95: when a hedge is sent.
+  High,    ///< 0.9: latency that admission control assumes.
+  Tail,    ///< 0.95: delay before a hedged attempt is sent.
   Count,   ///< Number of quantiles.
   Invalid, ///< Not a quantile.
 };
 
-/// Follows the quantiles of a stream of numbers (Boost.Accumulators, P-square).
+/// Estimates quantiles of a stream of values with the P-square algorithm.
 class QuantileStream {
 public:
   QuantileStream();
@@ -27,16 +27,16 @@
 
   /// Adds one value.
   void add(double Value);
-  /// \return How many values were added.
+  /// \return Number of values added.
   std::size_t count() const;
   /// \return The mean; 0 without values.
   double mean() const;
-  /// \return An estimate of the quantile; 0 without values.
+  /// \return The estimated quantile; 0 without values.
   double quantile(Quantile Q) const;
 
 private:
   struct Impl;
-  std::unique_ptr<Impl> Data; ///< Keeps Boost out of this header.
+  std::unique_ptr<Impl> Data; ///< Hides Boost from this header.
 };
 
 } // namespace fulmar
