--- a/src/tcp_proxy.h
+++ b/src/tcp_proxy.h
@@ -1,4 +1,4 @@
-/// \file tcp_proxy.h A proxy that spoils the connections through it; for soaks.
+/// \file tcp_proxy.h A TCP proxy that injects network faults; for soak tests.
 #ifndef FULMARSTEP_TCP_PROXY_H
 #define FULMARSTEP_TCP_PROXY_H
 
@@ -9,18 +9,18 @@
 
 namespace fulmar {
 
-/// What happens to the bytes of all connections.
+/// What the proxy does with the bytes of all connections.
 enum class ProxyMode {
-  Pass,    ///< They go on.
-  Delay,   ///< They go on a while later.
-  OneWay,  ///< Answers are swallowed.
-  Silent,  ///< Nothing goes on, and nothing is closed.
-  Reset,   ///< Connections are reset as soon as they are used.
+  Pass,    ///< Forwards them.
+  Delay,   ///< Forwards them after a delay.
+  OneWay,  ///< Drops the bytes from the target.
+  Silent,  ///< Drops all bytes and closes nothing.
+  Reset,   ///< Resets a connection as soon as bytes arrive on it.
   Count,   ///< Number of modes.
   Invalid, ///< Not a mode.
 };
 
-/// Passes connections on to one address.
+/// Forwards connections to one address.
 class TcpProxy {
 public:
   /// \throws Error ListenFailed.
@@ -30,15 +30,15 @@
   TcpProxy(const TcpProxy &) = delete;
   TcpProxy &operator=(const TcpProxy &) = delete;
 
-  /// \return The port; of use when 0 was asked for.
+  /// \return The bound port, also if it was assigned by the system (port 0).
   int port() const;
-  /// Changes what happens. What was swallowed or held stays lost.
+  /// Changes the mode. Bytes that were dropped stay lost.
   void setMode(ProxyMode Mode, Duration Delay = Duration::zero());
 
-  struct Impl; ///< Defined in the adapter.
+  struct Impl; ///< Defined in tcp_proxy.cpp.
 
 private:
-  std::unique_ptr<Impl> Data; ///< Keeps libevent out of this header.
+  std::unique_ptr<Impl> Data; ///< Hides libevent from this header.
 };
 
 } // namespace fulmar
