--- a/src/caller_api.cpp
+++ b/src/caller_api.cpp
@@ -16,8 +16,9 @@
 
 static constexpr std::size_t MaxIdBytes = 128;
 
-/// A request id goes into headers and logs, so it is kept printable.
-static bool plainId(const std::string &Id) {
+/// Request ids are written to headers and logs, so they must be printable ASCII
+/// without spaces, quotes and backslashes.
+static bool isPrintableId(const std::string &Id) {
   if (Id.size() > MaxIdBytes)
     return false;
   for (char C : Id) {
@@ -27,19 +28,20 @@
   return true;
 }
 
-static ResultCode refuseInput(std::string &Why, ResultCode Code,
+static ResultCode rejectInput(std::string &Why, ResultCode Code,
                               std::string Text) {
   Why = std::move(Text);
   return Code;
 }
 
-/// Reads the deadline header, in ms.
+/// Parses the deadline header, in ms.
+/// \return False if it is not a number in range.
 static bool readDeadline(const std::string &Text, Duration &Out) {
   std::int64_t Ms = 0;
   auto [End, Ec] = std::from_chars(Text.data(), Text.data() + Text.size(), Ms);
-  static constexpr std::int64_t MostMs = 3600000;
+  static constexpr std::int64_t MaxDeadlineMs = 3600000;
   if (Ec != std::errc() || End != Text.data() + Text.size() || Ms < 1 ||
-      Ms > MostMs)
+      Ms > MaxDeadlineMs)
     return false;
   Out = std::chrono::milliseconds(Ms);
   return true;
@@ -48,21 +50,21 @@
 ResultCode readRequestInput(const HttpExchange &Exchange, RequestInput &Out,
                             std::string &Why) {
   if (Exchange.TooLarge)
-    return refuseInput(Why, ResultCode::BodyTooLarge, "body is too large");
+    return rejectInput(Why, ResultCode::BodyTooLarge, "body is too large");
   Diagnostics Wrong;
   auto Body = parseJson(Exchange.Body, JsonDialect::Strict, Wrong);
   if (!Body || Body->Kind != JsonKind::Object)
-    return refuseInput(Why, ResultCode::BadRequest,
+    return rejectInput(Why, ResultCode::BadRequest,
                        "body: " + (Wrong.empty()
                                        ? "expected an object"
                                        : formatDiagnostics("line", Wrong)));
   for (const auto &[Name, Value] : Body->Members) {
     bool Text = Name == "organisation" || Name == "pipeline" || Name == "input";
     if (!Text && Name != "stream")
-      return refuseInput(Why, ResultCode::BadRequest,
+      return rejectInput(Why, ResultCode::BadRequest,
                          "unknown name: " + Name.substr(0, 40));
     if (Value.Kind != (Text ? JsonKind::Text : JsonKind::Bool))
-      return refuseInput(
+      return rejectInput(
           Why, ResultCode::BadRequest,
           Name + (Text ? ": expected a string" : ": expected true or false"));
   }
@@ -71,16 +73,16 @@
   Out.Input = Body->text("input");
   Out.Stream = Body->flag("stream");
   if (Out.Organisation.empty() || Out.Pipeline.empty())
-    return refuseInput(Why, ResultCode::BadRequest,
+    return rejectInput(Why, ResultCode::BadRequest,
                        "organisation and pipeline are required");
   Out.Id = Exchange.header(header::IdempotencyKey);
   Out.HasKey = !Out.Id.empty();
-  if (!plainId(Out.Id))
-    return refuseInput(Why, ResultCode::BadRequest,
+  if (!isPrintableId(Out.Id))
+    return rejectInput(Why, ResultCode::BadRequest,
                        "Idempotency-Key: expected up to 128 printable bytes");
   std::string Deadline = Exchange.header(header::DeadlineMs);
   if (!Deadline.empty() && !readDeadline(Deadline, Out.Deadline))
-    return refuseInput(Why, ResultCode::BadDeadline,
+    return rejectInput(Why, ResultCode::BadDeadline,
                        "X-Deadline-Ms: expected 1 to 3600000");
   return ResultCode::Invalid;
 }
@@ -107,7 +109,7 @@
   return Out;
 }
 
-static HttpHeaders answerHeaders(ResultCode Code) {
+static HttpHeaders responseHeaders(ResultCode Code) {
   HttpHeaders Out = {{"Content-Type", "application/json"}};
   int RetryMs = resultInfo(Code).RetryAfterMs;
   if (RetryMs > 0)
@@ -117,13 +119,13 @@
 
 static void replyReport(HttpExchange &Exchange, const RequestReport &Report) {
   Exchange.reply(resultInfo(Report.Code).HttpStatus,
-                 writeJson(reportJson(Report)), answerHeaders(Report.Code));
+                 writeJson(reportJson(Report)), responseHeaders(Report.Code));
 }
 
-/// Answers one caller, whole or as server-sent events.
+/// Sends a response to one caller, as a whole or as server-sent events.
 struct CallerSink : RequestSink {
-  HttpExchangePtr Exchange; ///< The caller.
-  bool Started = false;     ///< The stream has begun.
+  HttpExchangePtr Exchange; ///< Request and response.
+  bool Started = false;     ///< The event stream has begun.
 
   void token(std::string_view Text) override {
     begin();
@@ -132,7 +134,8 @@
   }
 
   void finished(const RequestReport &Report) override {
-    // Before the first token, a failure still has its status to tell by.
+    // Before the first token, a failure can still be reported by the HTTP
+    // status.
     if (!Started)
       return replyReport(*Exchange, Report);
     Exchange->sendChunk(
--- a/src/caller_api.h
+++ b/src/caller_api.h
@@ -1,4 +1,4 @@
-/// \file caller_api.h The HTTP interface for callers; docs/API.md.
+/// \file caller_api.h The HTTP interface for callers; see docs/API.md.
 #ifndef FULMARSTEP_CALLER_API_H
 #define FULMARSTEP_CALLER_API_H
 
@@ -14,16 +14,16 @@
 class MemberService;
 class DrainService;
 
-/// Reads a request's body and headers.
-/// \param[out] Why what is wrong, when the code says so.
-/// \return Invalid when nothing is wrong.
+/// Parses and validates a request's body and headers.
+/// \param[out] Why receives the reason if the request is rejected.
+/// \return ResultCode::Invalid if the request is valid.
 ResultCode readRequestInput(const HttpExchange &Exchange, RequestInput &Out,
                             std::string &Why);
 
-/// Writes the answer that a caller gets.
+/// \return The body of the response to a caller.
 Json reportJson(const RequestReport &Report);
 
-/// Serves callers.
+/// Serves the HTTP interface for callers.
 class CallerApi : public Service {
 public:
   CallerApi(Kernel &K, const Settings &S, std::uint64_t Seed);
@@ -37,15 +37,15 @@
   void handleEntries(const HttpExchangePtr &Exchange);
   void handleReady(const HttpExchangePtr &Exchange);
 
-  Kernel &Services;                   ///< Finds the others.
-  const Settings &Config;             ///< Addresses and limits.
-  RouterService *Router = nullptr;    ///< Takes requests.
-  MemberService *Members = nullptr;   ///< Knows entry addresses.
-  DrainService *Drain = nullptr;      ///< Knows of a stop.
-  Random Rng;                         ///< Spreads entry addresses.
-  std::string IdPrefix;               ///< Of ids made here.
-  std::uint64_t LastId = 0;           ///< Counts ids made here.
-  std::unique_ptr<HttpServer> Server; ///< Listens.
+  Kernel &Services;                   ///< The node's services.
+  const Settings &Config;             ///< Addresses and limits of the node.
+  RouterService *Router = nullptr;    ///< Runs requests.
+  MemberService *Members = nullptr;   ///< Source of entry addresses.
+  DrainService *Drain = nullptr;      ///< Phase of a planned stop.
+  Random Rng;                         ///< Randomizes entry addresses.
+  std::string IdPrefix;               ///< Prefix of the ids generated here.
+  std::uint64_t LastId = 0;           ///< Number of ids generated here.
+  std::unique_ptr<HttpServer> Server; ///< The HTTP server.
 };
 
 } // namespace fulmar
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -23,7 +23,7 @@
 
 namespace fulmar {
 
-static constexpr std::size_t MaxBody = 4096;
+static constexpr std::size_t MaxRequestBody = 4096;
 
 static constexpr EnumNames<DrainPhase> DrainPhaseNames = {"serving", "hidden",
                                                           "closing", "done"};
@@ -34,20 +34,22 @@
 void OperatorApi::start() {
   EventLoop &Loop = Services.find<LoopService>(service::Loop).Loop;
   Server = std::make_unique<HttpServer>(
-      Loop, Config.Host, static_cast<int>(Config.OperatorPort), MaxBody,
+      Loop, Config.Host, static_cast<int>(Config.OperatorPort), MaxRequestBody,
       [this](const HttpExchangePtr &E) { handle(E); });
 }
 
 void OperatorApi::stop() { Server.reset(); }
 
-/// Compares without giving away by its time how much of the token was right.
-static bool tokenFits(const HttpExchange &Exchange, const std::string &Token) {
+/// Compares the request's token in constant time, so that the duration does not
+/// reveal how much of it is correct.
+static bool tokenMatches(const HttpExchange &Exchange,
+                         const std::string &Token) {
   return sameDigest(sha256(Exchange.header("Authorization")),
                     sha256("Bearer " + Token));
 }
 
 void OperatorApi::handle(const HttpExchangePtr &Exchange) {
-  if (!tokenFits(*Exchange, Config.OperatorToken)) {
+  if (!tokenMatches(*Exchange, Config.OperatorToken)) {
     Json Out;
     Out.set("code", resultNumber(ResultCode::Unauthorised));
     return Exchange->reply(401, writeJson(Out), {});
@@ -120,13 +122,13 @@
   for (const auto &[Name, P] : Router.state().Pools)
     PoolList.push(poolJson(Name, P, Timers.now()));
   const BundleSeal &Seal = Roll.state().InForce.Seal;
-  Json BundlePart;
-  BundlePart.set("version", Seal.Version).set("root", hexOf(Seal.Root));
-  BundlePart.set("signer", Seal.Signer).set("watching", Roll.watching());
+  Json BundleStatus;
+  BundleStatus.set("version", Seal.Version).set("root", hexOf(Seal.Root));
+  BundleStatus.set("signer", Seal.Signer).set("watching", Roll.watching());
   Json Out;
   Out.set("node", Config.NodeId);
   Out.set("phase", std::string(nameIn(DrainPhaseNames, Drain.phase())));
-  Out.set("bundle", std::move(BundlePart));
+  Out.set("bundle", std::move(BundleStatus));
   Out.set("requests",
           static_cast<std::int64_t>(Router.state().Requests.size()));
   Out.set("host_list_failures", Hosts.failures());
@@ -138,7 +140,7 @@
   return Out;
 }
 
-/// Processor time and memory of this process.
+/// Adds the CPU time and peak memory of this process.
 static void addUsage(std::vector<PlainMetric> &Out) {
   rusage Usage{};
   getrusage(RUSAGE_SELF, &Usage);
--- a/src/operator_api.h
+++ b/src/operator_api.h
@@ -9,7 +9,8 @@
 
 namespace fulmar {
 
-/// Serves operators, on a port of its own and behind a token.
+/// Serves the HTTP interface for operators, on a separate port that requires a
+/// token.
 class OperatorApi : public Service {
 public:
   OperatorApi(Kernel &K, const Settings &S);
@@ -17,16 +18,16 @@
   void start() override;
   void stop() override;
 
-  /// \return What `fulmarstep status` shows.
+  /// \return The status that `fulmarstep status` prints.
   Json status() const;
 
 private:
   void handle(const HttpExchangePtr &Exchange);
   std::string metrics() const;
 
-  Kernel &Services;                   ///< Finds the others.
-  const Settings &Config;             ///< Address and token.
-  std::unique_ptr<HttpServer> Server; ///< Listens.
+  Kernel &Services;                   ///< The node's services.
+  const Settings &Config;             ///< Address and operator token.
+  std::unique_ptr<HttpServer> Server; ///< The HTTP server.
 };
 
 } // namespace fulmar
--- a/tests/test_api.cpp
+++ b/tests/test_api.cpp
@@ -1,4 +1,5 @@
-// The callers' interface on real sockets: bad input of every kind.
+// Tests of the HTTP interfaces of a node on real sockets: invalid input,
+// retries, faults, planned stops and streams.
 #include <arpa/inet.h>
 #include <unistd.h>
 
@@ -18,11 +19,11 @@
 using namespace fulmar;
 using namespace std::chrono_literals;
 
-/// Nodes and stand-ins on one loop.
+/// Nodes and stand-in back ends on one event loop.
 struct ApiSite {
   TimerService Timers;
   EventLoop Loop{Timers};
-  BundlePtr Under;
+  BundlePtr Bundle;
   std::unique_ptr<StandinSite> Site;
   std::vector<Settings> Configs;
   std::vector<std::unique_ptr<Node>> Nodes;
@@ -32,8 +33,8 @@
   explicit ApiSite(std::size_t Count = 1) {
     BundleItems Items =
         loadBundleItems(SOURCE_DIR "/examples/turno-certo-bundle.json");
-    Under = buildBundle(Items, 1);
-    Site = std::make_unique<StandinSite>(Loop, Timers, *Under, SitePlan());
+    Bundle = buildBundle(Items, 1);
+    Site = std::make_unique<StandinSite>(Loop, Timers, *Bundle, SitePlan());
     Site->Kv.restore(
         BundleKey,
         encodeBundle(sealBundle(Items, 1, "op", Key.PrivateHex, "first", 1)));
@@ -108,7 +109,7 @@
     auto Root = parseJson(A.Body, JsonDialect::Strict, Wrong);
     return Root ? Root->number("code") : -1;
   }
-  /// Sends raw bytes and waits until the node has had a look at them.
+  /// Sends raw bytes and runs the loop so that the node reads them.
   void raw(const std::string &Bytes) {
     int Fd = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in To{};
@@ -125,12 +126,12 @@
   }
 };
 
-static const char *const Coverage =
+static const char *const CoverageBody =
     R"({"organisation":"recife-docas","pipeline":"coverage","input":"x"})";
-static const char *const Confirm =
+static const char *const ConfirmBody =
     R"({"organisation":"recife-docas","pipeline":"confirm","input":"x"})";
 
-SCENARIO("callers send what they should not") {
+SCENARIO("callers send invalid requests") {
   ApiSite S;
   SECTION("bodies") {
     CHECK(S.code(S.post("")) == 2000);
@@ -145,22 +146,23 @@
               R"({"organisation":"recife-docas","pipeline":"no"})")) == 2001);
     CHECK(S.code(S.post(R"({"organisation":"no","pipeline":"coverage"})")) ==
           2002);
-    CHECK(S.code(S.post(Confirm)) == 2004);
+    CHECK(S.code(S.post(ConfirmBody)) == 2004);
   }
   SECTION("headers") {
-    CHECK(S.code(S.post(Coverage, {{header::DeadlineMs, "soon"}})) == 2005);
-    CHECK(S.code(S.post(Coverage, {{header::DeadlineMs, "-5"}})) == 2005);
-    CHECK(S.code(S.post(Coverage, {{header::DeadlineMs, "9999"}})) == 2005);
-    CHECK(S.code(S.post(Coverage, {{header::IdempotencyKey,
-                                    std::string(200, 'k')}})) == 2000);
-    CHECK(S.code(S.post(Coverage, {{header::IdempotencyKey, "a b"}})) == 2000);
+    CHECK(S.code(S.post(CoverageBody, {{header::DeadlineMs, "soon"}})) == 2005);
+    CHECK(S.code(S.post(CoverageBody, {{header::DeadlineMs, "-5"}})) == 2005);
+    CHECK(S.code(S.post(CoverageBody, {{header::DeadlineMs, "9999"}})) == 2005);
+    CHECK(S.code(S.post(CoverageBody, {{header::IdempotencyKey,
+                                        std::string(200, 'k')}})) == 2000);
+    CHECK(S.code(S.post(CoverageBody, {{header::IdempotencyKey, "a b"}})) ==
+          2000);
   }
   SECTION("paths") {
     HttpCall Call;
     Call.Path = "/nothing";
     CHECK(S.code(S.call(Call)) == 5014);
   }
-  SECTION("bytes that are not HTTP, cut or endless") {
+  SECTION("bytes that are not HTTP, incomplete or too long") {
     S.raw("\x16\x03\x01 not http at all\r\n\r\n");
     S.raw("POST /v1/requests HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n");
     S.raw("POST /v1/requests HTTP/1.1\r\nContent-Length: -1\r\n\r\nx");
@@ -168,17 +170,17 @@
     S.raw("GET / HTTP/1.1\r\n" + std::string(200000, 'h'));
     std::string Whole = "POST /v1/requests HTTP/1.1\r\nHost: x\r\n"
                         "Content-Length: " +
-                        std::to_string(std::string(Coverage).size()) +
-                        "\r\n\r\n" + Coverage;
+                        std::to_string(std::string(CoverageBody).size()) +
+                        "\r\n\r\n" + CoverageBody;
     S.raw(Whole + Whole + Whole);
     S.raw("GET /%zz%00 HTTP/1.1\r\nHost: x\r\n\r\n");
   }
-  THEN("and the node goes on serving") {
-    CHECK(S.code(S.post(Coverage)) == 1000);
+  THEN("the node continues to serve requests") {
+    CHECK(S.code(S.post(CoverageBody)) == 1000);
   }
 }
 
-SCENARIO("operators' endpoints are not open to callers") {
+SCENARIO("operator endpoints require the operator port and token") {
   ApiSite S;
   HttpCall Call;
   Call.Address = "127.0.0.1:" + std::to_string(S.Configs[0].OperatorPort);
@@ -193,24 +195,24 @@
   CHECK(S.call(Call).Status == 404);
 }
 
-SCENARIO("an id is used again, at other nodes") {
-  // Symptom: two people are sent to one shift. Sequence: a worker confirms,
-  // the connection is lost, the phone confirms again at another node. Cause:
-  // each node knowing only its own requests.
+SCENARIO("an idempotency key is reused at other nodes") {
+  // Symptom: two people are assigned to one shift. Sequence: a worker confirms,
+  // the connection is lost, the phone sends the confirmation again to another
+  // node. Cause: each node knows only its own requests.
   ApiSite S(3);
   HttpHeaders Key = {{header::IdempotencyKey, "shift-1"}};
-  CHECK(S.code(S.post(Confirm, Key, 0)) == 1000);
+  CHECK(S.code(S.post(ConfirmBody, Key, 0)) == 1000);
   std::size_t Executions = S.Site->executions().size();
-  // The outcome is recorded a moment after the answer.
-  HttpAnswer Again;
+  // The outcome is recorded shortly after the response is sent.
+  HttpAnswer RetryResponse;
   for (int I = 0; I < 5000; ++I) {
-    Again = S.post(Confirm, Key, 1);
-    if (S.code(Again) == 1001)
+    RetryResponse = S.post(ConfirmBody, Key, 1);
+    if (S.code(RetryResponse) == 1001)
       break;
-    CHECK(S.code(Again) == 4001);
+    CHECK(S.code(RetryResponse) == 4001);
   }
-  CHECK(S.code(Again) == 1001);
-  CHECK(S.code(S.post(Confirm, Key, 2)) == 1001);
+  CHECK(S.code(RetryResponse) == 1001);
+  CHECK(S.code(S.post(ConfirmBody, Key, 2)) == 1001);
   CHECK(S.Site->executions().size() == Executions);
 }
 
@@ -219,35 +221,36 @@
   S.Site->Kv.Faults.Outage = true;
   HttpHeaders Key = {{header::IdempotencyKey, "shift-2"}};
   std::size_t Before = S.Site->executions().size();
-  THEN("non-idempotent requests are not run, and everything else goes on") {
-    CHECK(S.code(S.post(Confirm, Key)) == 2030);
+  THEN("non-idempotent requests are rejected, and all others are served") {
+    CHECK(S.code(S.post(ConfirmBody, Key)) == 2030);
     CHECK(S.Site->executions().size() == Before);
-    CHECK(S.code(S.post(Coverage)) == 1000);
+    CHECK(S.code(S.post(CoverageBody)) == 1000);
     S.Site->Kv.Faults.Outage = false;
     double Code = 0;
     for (int I = 0; I < 200 && Code != 1000; ++I)
-      Code = S.code(S.post(Confirm, Key));
+      Code = S.code(S.post(ConfirmBody, Key));
     CHECK(Code == 1000);
   }
 }
 
 SCENARIO("a process is paused while an upstream is marked as leaving") {
-  // Symptom: an upstream that has been leaving for seconds gets new work; found
-  // by fault run 96. Sequence: the node is stopped, the upstream is marked, the
-  // node goes on and finds requests in its sockets before it has read the host
-  // list again. Cause: trusting a list that is as old as the pause.
+  // Symptom: an upstream that has been marked as leaving for seconds receives
+  // new work. Sequence: the process is paused, the upstream is marked, the
+  // process resumes and handles requests waiting in its sockets before it has
+  // read the host list again. Cause: the node uses a list that is as old as the
+  // pause.
   ApiSite S;
-  StandinUpstream *Leaver = S.Site->pool("retrievers").front();
-  Duration Skipped{};
-  S.Timers.setClock([&] { return EventLoop::clock() + Skipped; });
-  S.Site->Hosts.setLeaving(S.Site->addressOf(Leaver), true);
+  StandinUpstream *LeavingUpstream = S.Site->pool("retrievers").front();
+  Duration ClockOffset{};
+  S.Timers.setClock([&] { return EventLoop::clock() + ClockOffset; });
+  S.Site->Hosts.setLeaving(S.Site->addressOf(LeavingUpstream), true);
   S.waitFor([&] {
     for (const UpstreamSpec &U : S.Site->Hosts.Upstreams)
       if (U.Leaving)
         return true;
     return false;
   });
-  Skipped = 10s;
+  ClockOffset = 10s;
   std::size_t Done = 0;
   struct CountSink : RequestSink {
     std::size_t *Done;
@@ -267,39 +270,39 @@
     S.Nodes[0]->router().submit(Input, Sink);
   }
   S.waitFor([&] { return Done == 20; });
-  CHECK(Leaver->Executions.empty());
+  CHECK(LeavingUpstream->Executions.empty());
 }
 
-SCENARIO("a caller closes early") {
+SCENARIO("a caller disconnects before its response") {
   ApiSite S;
   for (StandinUpstream *U : S.Site->pool("retrievers"))
     U->Faults.Stall = 1;
   HttpCall Call;
   Call.Address = S.address();
   Call.Path = "/v1/requests";
-  Call.Body = Coverage;
+  Call.Body = CoverageBody;
   HttpCallId Id = S.Client->start(Call, HttpCallbacks());
   S.waitFor([&] { return !S.Site->executions().empty(); });
   S.Client->cancel(Id);
-  THEN("its upstream work is cancelled") {
+  THEN("its attempts at upstreams are cancelled") {
     S.waitFor([&] { return S.Nodes[0]->router().state().Requests.empty(); });
     CHECK(S.Nodes[0]->router().state().Attempts.empty());
   }
 }
 
-SCENARIO("a node stops while requests run") {
+SCENARIO("a node drains while requests are in flight") {
   ApiSite S(2);
   for (StandinUpstream *U : S.Site->pool("retrievers"))
     U->Faults.Slow = 100;
-  HttpAnswer Slow;
+  HttpAnswer SlowResponse;
   bool Done = false;
   HttpCall Call;
   Call.Address = S.address();
   Call.Path = "/v1/requests";
-  Call.Body = Coverage;
+  Call.Body = CoverageBody;
   HttpCallbacks On;
   On.OnDone = [&](const HttpAnswer &A) {
-    Slow = A;
+    SlowResponse = A;
     Done = true;
   };
   S.Client->start(Call, On);
@@ -310,11 +313,11 @@
   Ready.Method = "GET";
   Ready.Path = "/readyz";
   CHECK(S.code(S.call(Ready)) == 2011);
-  THEN("it still serves who has its address, and cuts nothing off") {
+  THEN("it completes the request in flight") {
     S.waitFor([&] { return Done; });
-    CHECK(S.code(Slow) == 1000);
+    CHECK(S.code(SlowResponse) == 1000);
   }
-  THEN("the other node does not give its address out") {
+  THEN("the other node no longer lists it as an entry") {
     HttpCall Entries;
     Entries.Address = S.address(1);
     Entries.Method = "GET";
@@ -326,9 +329,9 @@
   }
 }
 
-SCENARIO("a limit of the fleet goes where the demand is") {
+SCENARIO("the shares of a fleet-wide rate limit follow demand") {
   ApiSite S(3);
-  const char *Limited =
+  const char *RateLimitedBody =
       R"({"organisation":"paraiba-turnos","pipeline":"coverage","input":"x"})";
   auto Share = [&] {
     const RouterState &R = S.Nodes[0]->router().state();
@@ -336,19 +339,19 @@
     return Payer == R.Payers.end() ? 0 : R.Rates.at(Payer->second).Share;
   };
   S.waitFor([&] { return S.Nodes[0]->router().state().EvenShare < 0.4; });
-  CHECK(S.code(S.post(Limited)) == 1000);
+  CHECK(S.code(S.post(RateLimitedBody)) == 1000);
   CHECK(Share() == Approx(1.0 / 3));
-  // Twenty seconds of a steady demand, however long they take here.
-  Duration Skipped{};
-  S.Timers.setClock([&] { return EventLoop::clock() + Skipped; });
+  // Twenty seconds of steady demand, on a clock that is advanced by the test.
+  Duration ClockOffset{};
+  S.Timers.setClock([&] { return EventLoop::clock() + ClockOffset; });
   for (int I = 0; I < 400 && Share() <= 0.9; ++I) {
-    Skipped += 50ms;
-    S.post(Limited);
+    ClockOffset += 50ms;
+    S.post(RateLimitedBody);
   }
   CHECK(Share() > 0.9);
 }
 
-SCENARIO("a stream of tokens is the whole answer") {
+SCENARIO("the streamed tokens add up to the complete output") {
   ApiSite S;
   HttpCall Call;
   Call.Address = S.address();
