--- a/src/standin/port_range.cpp
+++ b/src/standin/port_range.cpp
@@ -1,4 +1,4 @@
-/// \file port_range.cpp Ports that no other process of ours uses.
+/// \file port_range.cpp Ports reserved for one process.
 #include "standin/port_range.h"
 
 #include <fcntl.h>
@@ -11,10 +11,10 @@
 
 namespace fulmar {
 
-/// Everybody may lock a file that another user made.
+/// All users may open the lock file, whoever created it.
 static constexpr mode_t LockMode = 0666;
 
-/// \return The file that locks the range that begins at \p First.
+/// \return Path of the lock file of the range that begins at \p First.
 static std::string lockPath(int First) {
   std::string Name = "fulmarstep-ports-" + std::to_string(First);
   return std::filesystem::temp_directory_path() / Name;
@@ -39,18 +39,18 @@
 PortRange::~PortRange() { ::close(LockFile); }
 
 std::vector<int> freePorts(const std::string &Host, std::size_t Count) {
-  static PortRange Mine;
+  static PortRange Range;
   static int Next = 0;
   TimerService Timers;
   EventLoop Loop(Timers);
   std::vector<int> Ports;
   for (int Tries = 0; Ports.size() < Count && Tries < PortsOfRange; ++Tries) {
-    int Port = Mine.first() + Next++ % PortsOfRange;
+    int Port = Range.first() + Next++ % PortsOfRange;
     try {
       HttpServer Probe(Loop, Host, Port, 1, [](const HttpExchangePtr &) {});
       Ports.push_back(Port);
     } catch (const Error &) {
-      // Taken by somebody else; the next one will do.
+      // Another process listens on this port; try the next one.
     }
   }
   if (Ports.size() < Count)
--- a/src/standin/port_range.h
+++ b/src/standin/port_range.h
@@ -1,4 +1,4 @@
-/// \file standin/port_range.h Ports that no other process of ours uses.
+/// \file standin/port_range.h Ports reserved for one process.
 #ifndef FULMARSTEP_STANDIN_PORT_RANGE_H
 #define FULMARSTEP_STANDIN_PORT_RANGE_H
 
@@ -8,24 +8,25 @@
 
 namespace fulmar {
 
-/// Ranges lie between these ports. Below them `scripts/soak` chooses its ports;
-/// above them the other scripts have fixed ones. Ports of outgoing connections
-/// begin at 32768 on Linux, and any process that connects may get one of those.
+/// Bounds of all ranges. `scripts/soak` takes its ports below the first bound;
+/// the other scripts use fixed ports above the second. Ephemeral ports begin at
+/// 32768 on Linux, and any outgoing connection may get one of those.
 inline constexpr int FirstRangePort = 12000;
 inline constexpr int EndRangePort = 19000;
-/// Ports of one range: more than the nodes and stand-ins of one test listen on.
+/// Number of ports in a range: more than the nodes and stand-ins of one test
+/// listen on.
 inline constexpr int PortsOfRange = 100;
 
-/// Some ports in a row, held for as long as this object lives.
+/// Reserves a range of consecutive ports for the lifetime of this object.
 ///
-/// Processes that choose ports by themselves take the same ones now and then.
-/// One sees a node that never answers, because another process listens on its
-/// port. The range is locked by a file, which the system lets go when the
-/// process ends in any way.
+/// Processes that each pick free ports independently sometimes pick the same
+/// ones; a node then appears never to respond, because another process listens
+/// on its port. A lock on a file reserves the range. The operating system
+/// releases the lock however the process ends.
 class PortRange {
 public:
-  /// Takes a range that nobody holds.
-  /// \throws Error when all are held.
+  /// Reserves the first range that no process holds.
+  /// \throws Error when all ranges are held.
   PortRange();
   PortRange(const PortRange &) = delete;
   PortRange &operator=(const PortRange &) = delete;
@@ -35,11 +36,12 @@
   int first() const { return First; }
 
 private:
-  int First = 0;
-  int LockFile = -1; ///< Open while the range is held.
+  int First = 0;     ///< Lowest port of the range.
+  int LockFile = -1; ///< Descriptor of the lock file; open while held.
 };
 
-/// Finds ports of this process's range that nobody listens on now.
+/// Finds \p Count ports of this process's range on which no process listens.
+/// \throws Error when the range has too few.
 std::vector<int> freePorts(const std::string &Host, std::size_t Count);
 
 } // namespace fulmar
--- a/src/standin/standin_hosts.cpp
+++ b/src/standin/standin_hosts.cpp
@@ -81,8 +81,8 @@
       return Exchange->reply(304, "", {{"ETag", Tag}});
     return Exchange->reply(HttpOk, Text, {{"ETag", Tag}});
   }
-  Diagnostics Wrong;
-  auto Root = parseJson(Exchange->Body, JsonDialect::Strict, Wrong);
+  Diagnostics Problems;
+  auto Root = parseJson(Exchange->Body, JsonDialect::Strict, Problems);
   if (!Root)
     return Exchange->reply(400, "not JSON", {});
   Timers.after(std::chrono::milliseconds(LagMs),
--- a/src/standin/standin_hosts.h
+++ b/src/standin/standin_hosts.h
@@ -8,36 +8,37 @@
 
 namespace fulmar {
 
-/// A node as the host list gives it.
+/// A node's entry in the host list.
 struct ListedNode {
   std::string Id;            ///< Node id.
   std::string PeerAddress;   ///< IP:PORT for other nodes.
-  std::string FailureDomain; ///< Where it runs.
+  std::string FailureDomain; ///< Failure domain of the node.
 };
 
-/// Answers GET /v1/hosts; POST /v1/hosts replaces the list after a lag, and
-/// POST /leave with an address marks that upstream as leaving.
+/// Serves the host list at GET /v1/hosts. POST /v1/hosts replaces the list
+/// after a delay; POST /leave with an address marks that upstream as leaving.
 class StandinHosts {
 public:
   StandinHosts(EventLoop &Loop, TimerService &Timers, const std::string &Host,
                int Port);
 
-  std::vector<UpstreamSpec> Upstreams; ///< Live and leaving.
-  std::vector<ListedNode> Nodes;       ///< Live.
-  bool Outage = false;                 ///< Connections are cut.
-  std::int64_t LagMs = 0;              ///< Until a change shows.
+  std::vector<UpstreamSpec>
+      Upstreams;                 ///< Listed upstreams, leaving ones included.
+  std::vector<ListedNode> Nodes; ///< Listed nodes.
+  bool Outage = false;           ///< Aborts connections instead of responding.
+  std::int64_t LagMs = 0;        ///< Delay in ms before a change is visible.
 
   /// \return The port it listens on.
   int port() const { return Server.port(); }
-  /// Marks an upstream as leaving or not, after the lag.
+  /// Marks an upstream as leaving or not, after the delay.
   void setLeaving(const std::string &Address, bool Leaving);
 
 private:
   void handle(const HttpExchangePtr &Exchange);
   void replace(const Json &Root);
 
-  TimerService &Timers; ///< For the lag.
-  HttpServer Server;    ///< Last: calls the rest.
+  TimerService &Timers; ///< Delays changes.
+  HttpServer Server;    ///< Last member: its handler uses the others.
 };
 
 /// Writes a host list as JSON.
--- a/src/standin/standin_kv.cpp
+++ b/src/standin/standin_kv.cpp
@@ -47,7 +47,7 @@
     return Exchange->reply(404, "", {});
   bool Remove = Exchange->Method == "DELETE";
   bool Write = Exchange->Method == "PUT" || Remove;
-  if (!takeRate(Write)) {
+  if (!acquirePermit(Write)) {
     ++RefusedCount;
     return Exchange->reply(HttpTooManyRequests, "", {});
   }
@@ -61,24 +61,24 @@
     handleRead(Exchange, Key);
 }
 
-bool StandinKv::takeRate(bool Write) {
-  if (Timers.now() - Second >= std::chrono::seconds(1)) {
-    Second = Timers.now();
-    ReadsNow = 0;
-    WritesNow = 0;
+bool StandinKv::acquirePermit(bool Write) {
+  if (Timers.now() - WindowStart >= std::chrono::seconds(1)) {
+    WindowStart = Timers.now();
+    WindowReads = 0;
+    WindowWrites = 0;
   }
-  std::int64_t &Used = Write ? WritesNow : ReadsNow;
-  // A waiting watch is a call that lasts.
-  std::int64_t Waiting = Write ? 0 : static_cast<std::int64_t>(Watchers.size());
-  if (Used + Waiting >= (Write ? Faults.Writes : Faults.Reads))
+  std::int64_t &Used = Write ? WindowWrites : WindowReads;
+  // Each open watch counts as a read of every second that it lasts.
+  std::int64_t Open = Write ? 0 : static_cast<std::int64_t>(Watchers.size());
+  if (Used + Open >= (Write ? Faults.Writes : Faults.Reads))
     return false;
   ++Used;
   ++(Write ? WriteCount : ReadCount);
   return true;
 }
 
-void StandinKv::answerEntry(const HttpExchangePtr &Exchange,
-                            const std::string &Key) {
+void StandinKv::replyEntry(const HttpExchangePtr &Exchange,
+                           const std::string &Key) {
   auto Found = Entries.find(Key);
   HttpHeaders Headers = {{"X-Consul-Index", std::to_string(LastIndex)}};
   if (Found == Entries.end())
@@ -96,14 +96,14 @@
   std::string Index = Exchange->queryValue("index");
   std::uint64_t From = std::strtoull(Index.c_str(), nullptr, 10);
   if (Index.empty() || entry(Key).Index != From)
-    return answerEntry(Exchange, Key);
-  std::uint64_t Id = ++LastWatcher;
+    return replyEntry(Exchange, Key);
+  std::uint64_t Id = ++LastWatcherId;
   double WaitMs = std::strtod(Exchange->queryValue("wait").c_str(), nullptr);
   TimerId Timeout = Timers.after(fromMs(WaitMs), [this, Id] {
     auto Node = Watchers.extract(Id);
-    answerEntry(Node.mapped().Caller, Node.mapped().Key);
+    replyEntry(Node.mapped().Exchange, Node.mapped().Key);
   });
-  Watchers.emplace(Id, Waiting{Key, From, Exchange, Timeout});
+  Watchers.emplace(Id, Watcher{Key, From, Exchange, Timeout});
   Exchange->OnClosed = [this, Id] {
     auto Found = Watchers.find(Id);
     if (Found == Watchers.end())
@@ -121,14 +121,14 @@
       continue;
     }
     Timers.cancel(It->second.Timeout);
-    Woken.push_back(It->second.Caller);
+    Woken.push_back(It->second.Exchange);
     It = Watchers.erase(It);
   }
-  for (const HttpExchangePtr &Caller : Woken) {
+  for (const HttpExchangePtr &Exchange : Woken) {
     if (Faults.Outage)
-      Caller->abort();
+      Exchange->abort();
     else
-      answerEntry(Caller, Key);
+      replyEntry(Exchange, Key);
   }
 }
 
@@ -150,8 +150,8 @@
 }
 
 void StandinKv::handleFault(const HttpExchangePtr &Exchange) {
-  Diagnostics Wrong;
-  auto Root = parseJson(Exchange->Body, JsonDialect::Strict, Wrong);
+  Diagnostics Problems;
+  auto Root = parseJson(Exchange->Body, JsonDialect::Strict, Problems);
   if (!Root)
     return Exchange->reply(400, "not JSON", {});
   auto Number = [&Root](const char *Name, std::int64_t Now) {
@@ -168,7 +168,7 @@
     Watchers.clear();
     for (auto &[Id, W] : Cut) {
       Timers.cancel(W.Timeout);
-      W.Caller->abort();
+      W.Exchange->abort();
     }
   }
   Exchange->reply(HttpOk, "", {});
--- a/src/standin/standin_kv.h
+++ b/src/standin/standin_kv.h
@@ -10,40 +10,41 @@
 
 namespace fulmar {
 
-/// What can be wrong with the stand-in; set by POST /fault.
+/// Injected faults and rate limits; set by POST /fault.
 struct KvFaults {
-  bool Outage = false;          ///< Connections are cut without an answer.
-  std::int64_t LoseAnswers = 0; ///< So many writes take effect unanswered.
-  std::int64_t SlowMs = 0;      ///< Every answer waits this long.
-  std::int64_t Reads = 2000;    ///< Reads a second, waiting watches included.
-  std::int64_t Writes = 500;    ///< Writes a second.
+  bool Outage = false; ///< Aborts connections without a response.
+  std::int64_t LoseAnswers =
+      0; ///< Number of further writes that take effect but get no response.
+  std::int64_t SlowMs = 0;   ///< Delay of every response, in ms.
+  std::int64_t Reads = 2000; ///< Limit of reads a second; open watches count.
+  std::int64_t Writes = 500; ///< Limit of writes a second.
 };
 
-/// Entries, compare-and-swap and waiting reads over Consul's KV API.
+/// Serves entries, compare-and-swap and blocking reads over Consul's KV API.
 class StandinKv {
 public:
   StandinKv(EventLoop &Loop, TimerService &Timers, const std::string &Host,
             int Port);
 
   KvFaults Faults;                ///< May be changed at any time.
-  std::uint64_t ReadCount = 0;    ///< Reads taken.
-  std::uint64_t WriteCount = 0;   ///< Writes taken.
-  std::uint64_t RefusedCount = 0; ///< Calls over the rate.
+  std::uint64_t ReadCount = 0;    ///< Reads admitted.
+  std::uint64_t WriteCount = 0;   ///< Writes admitted.
+  std::uint64_t RefusedCount = 0; ///< Requests refused over the rate limit.
 
   /// \return The port it listens on.
   int port() const { return Server.port(); }
-  /// \return An entry, to look at in tests.
+  /// \return The entry of \p Key, empty when there is none; for tests.
   KvEntry entry(const std::string &Key) const;
   /// Overwrites an entry, as an operator who restores a backup does.
   void restore(const std::string &Key, const std::string &Value);
 
 private:
-  /// A read that waits for a change.
-  struct Waiting {
-    std::string Key;        ///< Entry.
-    std::uint64_t Index;    ///< Changes count from here on.
-    HttpExchangePtr Caller; ///< Who waits.
-    TimerId Timeout;        ///< When it is answered anyway.
+  /// A blocking read that waits for a change.
+  struct Watcher {
+    std::string Key;          ///< Key of the entry.
+    std::uint64_t Index;      ///< Index that the reader has seen.
+    HttpExchangePtr Exchange; ///< Exchange to reply to.
+    TimerId Timeout;          ///< Ends the wait without a change.
   };
 
   void handle(const HttpExchangePtr &Exchange);
@@ -51,19 +52,20 @@
   void handleRead(const HttpExchangePtr &Exchange, const std::string &Key);
   void handleWrite(const HttpExchangePtr &Exchange, const std::string &Key);
   void handleFault(const HttpExchangePtr &Exchange);
-  void answerEntry(const HttpExchangePtr &Exchange, const std::string &Key);
+  void replyEntry(const HttpExchangePtr &Exchange, const std::string &Key);
   void wakeWatchers(const std::string &Key);
-  bool takeRate(bool Write);
+  bool acquirePermit(bool Write);
 
-  TimerService &Timers;                      ///< For waits.
-  std::map<std::string, KvEntry> Entries;    ///< All.
-  std::uint64_t LastIndex = 0;               ///< Counts writes.
-  std::map<std::uint64_t, Waiting> Watchers; ///< By age.
-  std::uint64_t LastWatcher = 0;             ///< Counts watchers.
-  TimePoint Second{};                        ///< Start of the present second.
-  std::int64_t ReadsNow = 0;                 ///< Reads in it.
-  std::int64_t WritesNow = 0;                ///< Writes in it.
-  HttpServer Server;                         ///< Last: calls the rest.
+  TimerService &Timers;                   ///< Delays and timeouts.
+  std::map<std::string, KvEntry> Entries; ///< By key.
+  std::uint64_t LastIndex = 0;            ///< Index of the last write.
+  std::map<std::uint64_t, Watcher>
+      Watchers;                    ///< Open watches by id, oldest first.
+  std::uint64_t LastWatcherId = 0; ///< Id of the last watch.
+  TimePoint WindowStart{};         ///< Start of the current rate window of 1 s.
+  std::int64_t WindowReads = 0;    ///< Reads admitted in the window.
+  std::int64_t WindowWrites = 0;   ///< Writes admitted in the window.
+  HttpServer Server; ///< Last member: its handler uses the others.
 };
 
 } // namespace fulmar
--- a/src/standin/standin_site.cpp
+++ b/src/standin/standin_site.cpp
@@ -5,15 +5,15 @@
 
 static constexpr int FailureDomains = 3;
 
-StandinShape shapeOf(PoolKind Kind, double TimeFactor) {
-  StandinShape Shape;
-  Shape.Kind = Kind;
-  Shape.Capacity = 8;
-  Shape.BaseMs = 4 * TimeFactor;
-  Shape.TokenMs = 2 * TimeFactor;
+StandinProfile defaultProfile(PoolKind Kind, double TimeFactor) {
+  StandinProfile Profile;
+  Profile.Kind = Kind;
+  Profile.Capacity = 8;
+  Profile.BaseMs = 4 * TimeFactor;
+  Profile.TokenMs = 2 * TimeFactor;
   if (Kind == PoolKind::Engine)
-    Shape.BaseMs = 10 * TimeFactor;
-  return Shape;
+    Profile.BaseMs = 10 * TimeFactor;
+  return Profile;
 }
 
 StandinSite::StandinSite(EventLoop &Loop, TimerService &Timers,
@@ -24,7 +24,8 @@
   for (const PoolSpec &Pool : Under.Pools) {
     for (int I = 0; I < Plan.UpstreamsPerPool; ++I) {
       auto Upstream = std::make_unique<StandinUpstream>(
-          Loop, Timers, Plan.Host, Port, shapeOf(Pool.Kind, Plan.TimeFactor),
+          Loop, Timers, Plan.Host, Port,
+          defaultProfile(Pool.Kind, Plan.TimeFactor),
           Plan.Seed + Entries.size());
       Port = Port == 0 ? 0 : Port + 1;
       std::string Address = Plan.Host + ":" + std::to_string(Upstream->port());
--- a/src/standin/standin_site.h
+++ b/src/standin/standin_site.h
@@ -9,18 +9,19 @@
 
 namespace fulmar {
 
-/// How many stand-ins, and where.
+/// Number, addresses and speed of the stand-ins.
 struct SitePlan {
-  std::string Host = "127.0.0.1"; ///< IP number of all.
-  int KvPort = 0;                 ///< 0: any.
-  int HostsPort = 0;              ///< 0: any.
-  int FirstUpstreamPort = 0;      ///< 0: any; else counted up.
-  int UpstreamsPerPool = 4;       ///< Spread over three failure domains.
-  double TimeFactor = 1;          ///< All service times are multiplied by it.
-  std::uint64_t Seed = 1;         ///< Of faults.
+  std::string Host = "127.0.0.1"; ///< IP address that all listen on.
+  int KvPort = 0;                 ///< Key-value service; 0: any port.
+  int HostsPort = 0;              ///< Host list; 0: any port.
+  int FirstUpstreamPort =
+      0; ///< Port of the first upstream, the others follow; 0: any.
+  int UpstreamsPerPool = 4; ///< Spread over three failure domains.
+  double TimeFactor = 1;    ///< Factor of all service times.
+  std::uint64_t Seed = 1;   ///< Seed of random faults.
 };
 
-/// The stand-ins of a site.
+/// All stand-ins of one deployment.
 class StandinSite {
 public:
   StandinSite(EventLoop &Loop, TimerService &Timers, const Bundle &Under,
@@ -29,11 +30,11 @@
   StandinKv Kv;       ///< Key-value service.
   StandinHosts Hosts; ///< Host list.
 
-  /// \return Stand-ins of \p Pool.
+  /// \return The stand-ins that serve \p Pool.
   std::vector<StandinUpstream *> pool(const std::string &Pool) const;
-  /// \return The address of a stand-in.
+  /// \return The address of \p Upstream; empty when it is not of this site.
   std::string addressOf(const StandinUpstream *Upstream) const;
-  /// Marks an upstream as leaving, in the host list and in its answers.
+  /// Marks an upstream as leaving, in the host list and in its responses.
   void leave(StandinUpstream *Upstream);
   /// \return All executions, with the addresses of their upstreams.
   std::vector<std::pair<std::string, Execution>> executions() const;
@@ -41,16 +42,16 @@
 private:
   /// One stand-in of a pool.
   struct Entry {
-    std::string Pool;                          ///< Its pool.
+    std::string Pool;                          ///< Name of the pool.
     std::string Address;                       ///< IP:PORT.
-    std::unique_ptr<StandinUpstream> Upstream; ///< Itself.
+    std::unique_ptr<StandinUpstream> Upstream; ///< The stand-in.
   };
 
-  std::vector<Entry> Entries; ///< All.
+  std::vector<Entry> Entries; ///< Upstreams of all pools.
 };
 
-/// Normal behaviour of a kind of upstream.
-StandinShape shapeOf(PoolKind Kind, double TimeFactor);
+/// \return The behaviour without faults of an upstream of \p Kind.
+StandinProfile defaultProfile(PoolKind Kind, double TimeFactor);
 
 } // namespace fulmar
 
--- a/src/standin/standin_upstream.cpp
+++ b/src/standin/standin_upstream.cpp
@@ -9,7 +9,7 @@
 namespace fulmar {
 
 static constexpr std::size_t MaxInputBytes = std::size_t{4} << 20;
-/// Bytes of an input that an engine caches as its prefix.
+/// Length in bytes of the prefix of a prompt that an engine caches.
 static constexpr std::size_t PrefixBytes = 64;
 
 std::vector<std::string> standinTokens(const std::string &Stage,
@@ -17,7 +17,7 @@
                                        std::int64_t MaxTokens) {
   std::vector<std::string> Out;
   std::uint64_t Hash = hash64(Stage + "|" + Input);
-  // Answers differ in length as well, so that a lost tail shows.
+  // Responses differ in length too, so that a truncated one is detected.
   std::int64_t Size = std::max<std::int64_t>(
       1, MaxTokens - static_cast<std::int64_t>(Hash % 4));
   for (std::int64_t I = 0; I < Size; ++I)
@@ -37,8 +37,8 @@
 
 StandinUpstream::StandinUpstream(EventLoop &Loop, TimerService &T,
                                  const std::string &Host, int Port,
-                                 StandinShape S, std::uint64_t Seed)
-    : Timers(T), Shape(S), Rng(Seed),
+                                 StandinProfile S, std::uint64_t Seed)
+    : Timers(T), Profile(S), Rng(Seed),
       Server(Loop, Host, Port, MaxInputBytes,
              [this](const HttpExchangePtr &E) { handle(E); }) {}
 
@@ -46,17 +46,17 @@
   if (Exchange->Path == "/fault")
     return handleFault(Exchange);
   if (Exchange->Path == "/executions")
-    return handleLog(Exchange);
-  Diagnostics Wrong;
-  auto Body = parseJson(Exchange->Body, JsonDialect::Strict, Wrong);
+    return handleExecutions(Exchange);
+  Diagnostics Problems;
+  auto Body = parseJson(Exchange->Body, JsonDialect::Strict, Problems);
   if (Exchange->TooLarge || !Body)
     return Exchange->reply(400, "not JSON", {});
   begin(Exchange, *Body);
 }
 
 void StandinUpstream::handleFault(const HttpExchangePtr &Exchange) {
-  Diagnostics Wrong;
-  auto Root = parseJson(Exchange->Body, JsonDialect::Strict, Wrong);
+  Diagnostics Problems;
+  auto Root = parseJson(Exchange->Body, JsonDialect::Strict, Problems);
   if (!Root)
     return Exchange->reply(400, "not JSON", {});
   Faults.Slow = Root->number("slow", Faults.Slow);
@@ -69,7 +69,7 @@
   Exchange->reply(HttpOk, "", {});
 }
 
-void StandinUpstream::handleLog(const HttpExchangePtr &Exchange) {
+void StandinUpstream::handleExecutions(const HttpExchangePtr &Exchange) {
   Json List;
   List.Kind = JsonKind::List;
   for (const Execution &E : Executions) {
@@ -82,12 +82,12 @@
 }
 
 void StandinUpstream::begin(const HttpExchangePtr &Exchange, const Json &Body) {
-  std::uint64_t Id = ++LastRun;
+  std::uint64_t Id = ++LastRunId;
   Run R;
-  R.Caller = Exchange;
+  R.Exchange = Exchange;
   R.RequestId = Exchange->header(header::RequestId);
   R.Stage = Body.text("stage");
-  bool Engine = Shape.Kind == PoolKind::Engine;
+  bool Engine = Profile.Kind == PoolKind::Engine;
   R.Input = Body.text(Engine ? "prompt" : "input");
   R.Stream = Body.flag("stream");
   if (Engine)
@@ -95,37 +95,36 @@
         R.Stage, R.Input, static_cast<std::int64_t>(Body.number("max_tokens")));
   Exchange->OnClosed = [this, Id] { callerLeft(Id); };
   Runs.emplace(Id, std::move(R));
-  // An engine takes everything into its batch and slows down; a stage pool
-  // lets calls wait.
-  if (Engine || Active < Shape.Capacity)
+  // An engine adds every call to its batch and slows down; upstreams of other
+  // kinds queue calls over their capacity.
+  if (Engine || Active < Profile.Capacity)
     return startRun(Id);
   Waiting.push_back(Id);
 }
 
-/// Fails a call on purpose, if its lot says so.
-bool StandinUpstream::misbehave(std::uint64_t Id) {
+bool StandinUpstream::injectFault(std::uint64_t Id) {
   Run &R = Runs.at(Id);
   if (chance(Faults.Stall))
     return true;
   if (chance(Faults.Fail)) {
-    HttpExchangePtr Caller = R.Caller;
+    HttpExchangePtr Exchange = R.Exchange;
     endRun(Id);
-    Caller->reply(500, "{\"error\":\"on purpose\"}", {});
+    Exchange->reply(500, "{\"error\":\"on purpose\"}", {});
     return true;
   }
   if (!chance(Faults.Cut))
     return false;
-  if (Shape.Kind == PoolKind::Engine && R.Tokens.size() > 1) {
+  if (Profile.Kind == PoolKind::Engine && R.Tokens.size() > 1) {
     R.CutAt = 1 + randomIndex(Rng, R.Tokens.size() - 1);
     return false;
   }
-  HttpExchangePtr Caller = R.Caller;
+  HttpExchangePtr Exchange = R.Exchange;
   endRun(Id);
-  Caller->abort();
+  Exchange->abort();
   return true;
 }
 
-/// An engine that has seen a prefix needs less time before its first token.
+/// \return Time to the first token in ms; less when the prefix is cached.
 double StandinUpstream::prefillMs(const std::string &Input) {
   std::uint64_t Prefix = hash64(std::string_view(Input).substr(0, PrefixBytes));
   auto Found = std::find(Cache.begin(), Cache.end(), Prefix);
@@ -133,23 +132,23 @@
   if (Hit)
     Cache.erase(Found);
   Cache.push_back(Prefix);
-  if (Cache.size() > Shape.CacheSize)
+  if (Cache.size() > Profile.CacheSize)
     Cache.pop_front();
-  return Shape.BaseMs * (Hit ? 1 - Shape.CachedShare : 1);
+  return Profile.BaseMs * (Hit ? 1 - Profile.CachedShare : 1);
 }
 
 void StandinUpstream::startRun(std::uint64_t Id) {
   Run &R = Runs.at(Id);
   ++Active;
   R.Began = Timers.now();
-  if (KeepLog) {
-    R.LogIndex = Executions.size();
+  if (KeepExecutions) {
+    R.ExecutionIndex = Executions.size();
     Executions.push_back({R.RequestId, R.Stage, Timers.now(), false});
   }
-  if (misbehave(Id))
+  if (injectFault(Id))
     return;
-  bool Engine = Shape.Kind == PoolKind::Engine;
-  double Ms = Engine ? prefillMs(R.Input) : Shape.BaseMs;
+  bool Engine = Profile.Kind == PoolKind::Engine;
+  double Ms = Engine ? prefillMs(R.Input) : Profile.BaseMs;
   R.Timer = Timers.after(fromMs(Ms * Faults.Slow), [this, Id, Engine] {
     if (Engine)
       sendToken(Id);
@@ -158,7 +157,7 @@
   });
 }
 
-HttpHeaders StandinUpstream::answerHeaders(const Run &R) {
+HttpHeaders StandinUpstream::responseHeaders(const Run &R) {
   std::string Echo = R.RequestId;
   if (chance(Faults.Foreign))
     Echo += "-foreign";
@@ -173,20 +172,20 @@
 
 void StandinUpstream::finishStage(std::uint64_t Id) {
   Run &R = Runs.at(Id);
-  if (KeepLog)
-    Executions[R.LogIndex].Ended = true;
-  HttpExchangePtr Caller = R.Caller;
-  HttpHeaders Headers = answerHeaders(R);
+  if (KeepExecutions)
+    Executions[R.ExecutionIndex].Ended = true;
+  HttpExchangePtr Exchange = R.Exchange;
+  HttpHeaders Headers = responseHeaders(R);
   Json Answer;
   Answer.set("request_id", R.RequestId);
-  Answer.set("output", standinOutput(Shape.Kind, R.Stage, R.Input, 0));
+  Answer.set("output", standinOutput(Profile.Kind, R.Stage, R.Input, 0));
   endRun(Id);
   if (chance(Faults.CutAfter))
-    return Caller->abort();
-  Caller->reply(HttpOk, writeJson(Answer), Headers);
+    return Exchange->abort();
+  Exchange->reply(HttpOk, writeJson(Answer), Headers);
 }
 
-/// One event of a stream of completions.
+/// \return One server-sent event of a completions stream.
 static std::string tokenEvent(const std::string &Text, bool Last) {
   Json Choice;
   Choice.set("index", 0).set("text", Text);
@@ -201,45 +200,46 @@
 void StandinUpstream::sendToken(std::uint64_t Id) {
   Run &R = Runs.at(Id);
   if (R.CutAt > 0 && R.NextToken >= R.CutAt) {
-    HttpExchangePtr Caller = R.Caller;
+    HttpExchangePtr Exchange = R.Exchange;
     endRun(Id);
-    return Caller->abort();
+    return Exchange->abort();
   }
   if (R.NextToken == 0)
-    R.Caller->startStream(HttpOk, answerHeaders(R));
+    R.Exchange->startStream(HttpOk, responseHeaders(R));
   bool Last = R.NextToken + 1 == R.Tokens.size();
-  HttpExchangePtr Caller = R.Caller;
-  Caller->sendChunk(tokenEvent(R.Tokens[R.NextToken], Last));
-  // Sending can find out that the caller has left, and end this run.
+  HttpExchangePtr Exchange = R.Exchange;
+  Exchange->sendChunk(tokenEvent(R.Tokens[R.NextToken], Last));
+  // sendChunk may find the connection closed; its OnClosed then ends this run.
   auto Found = Runs.find(Id);
   if (Found == Runs.end())
     return;
   ++Found->second.NextToken;
   if (Last) {
-    if (KeepLog)
-      Executions[Found->second.LogIndex].Ended = true;
+    if (KeepExecutions)
+      Executions[Found->second.ExecutionIndex].Ended = true;
     endRun(Id);
-    Caller->sendChunk("data: [DONE]\n\n");
-    return Caller->endStream();
+    Exchange->sendChunk("data: [DONE]\n\n");
+    return Exchange->endStream();
   }
-  // Continuous batching: all running calls share the steps beyond capacity.
-  double Crowd = std::max(1.0, static_cast<double>(Active) / Shape.Capacity);
+  // Continuous batching: beyond capacity each step takes longer for all calls.
+  double Overload =
+      std::max(1.0, static_cast<double>(Active) / Profile.Capacity);
   Found->second.Timer =
-      Timers.after(fromMs(Shape.TokenMs * Crowd * Faults.Slow),
+      Timers.after(fromMs(Profile.TokenMs * Overload * Faults.Slow),
                    [this, Id] { sendToken(Id); });
 }
 
 void StandinUpstream::endRun(std::uint64_t Id) {
   auto Node = Runs.extract(Id);
-  Node.mapped().Caller->OnClosed = nullptr;
+  Node.mapped().Exchange->OnClosed = nullptr;
   Timers.cancel(Node.mapped().Timer);
-  auto Place = std::find(Waiting.begin(), Waiting.end(), Id);
-  if (Place != Waiting.end()) {
-    Waiting.erase(Place);
+  auto Position = std::find(Waiting.begin(), Waiting.end(), Id);
+  if (Position != Waiting.end()) {
+    Waiting.erase(Position);
     return;
   }
   --Active;
-  if (Waiting.empty() || Active >= Shape.Capacity)
+  if (Waiting.empty() || Active >= Profile.Capacity)
     return;
   std::uint64_t Next = Waiting.front();
   Waiting.pop_front();
@@ -249,8 +249,9 @@
 void StandinUpstream::callerLeft(std::uint64_t Id) {
   if (!Runs.count(Id))
     return;
-  // A plain service does not notice: what it has begun, it does.
-  if (Shape.Kind == PoolKind::Plain)
+  // A plain service does not notice a closed connection and runs the call to
+  // completion.
+  if (Profile.Kind == PoolKind::Plain)
     return;
   endRun(Id);
 }
--- a/src/standin/standin_upstream.h
+++ b/src/standin/standin_upstream.h
@@ -12,95 +12,102 @@
 
 namespace fulmar {
 
-/// How a stand-in behaves when nothing is wrong.
-struct StandinShape {
-  PoolKind Kind = PoolKind::Stage; ///< Which protocol it speaks.
-  int Capacity = 4;   ///< Calls at once at full speed; others wait or slow.
-  double BaseMs = 5;  ///< Time of a stage call, or to the first token.
-  double TokenMs = 2; ///< Time of one token at full speed.
-  double CachedShare = 0.5;   ///< Part of BaseMs saved by a cached prefix.
-  std::size_t CacheSize = 64; ///< Prefixes that an engine keeps.
+/// Behaviour of a stand-in without faults.
+struct StandinProfile {
+  PoolKind Kind = PoolKind::Stage; ///< Kind of pool, which sets the protocol.
+  int Capacity =
+      4; ///< Concurrent calls at full speed; more queue or slow down.
+  double BaseMs = 5;        ///< Time of a stage call or to the first token, ms.
+  double TokenMs = 2;       ///< Time of one token at full speed, ms.
+  double CachedShare = 0.5; ///< Share of BaseMs saved by a cached prefix.
+  std::size_t CacheSize = 64; ///< Prefixes in an engine's cache.
 };
 
-/// What is wrong with a stand-in; set by POST /fault.
+/// Injected faults of a stand-in; set by POST /fault.
 struct StandinFaults {
-  double Slow = 1;      ///< Times are multiplied by this.
-  double Fail = 0;      ///< Share of calls answered with an error.
-  double Cut = 0;       ///< Share of calls cut before or in the answer.
-  double CutAfter = 0;  ///< Share of calls that run, then are cut unanswered.
-  double Stall = 0;     ///< Share of calls never answered.
-  double Foreign = 0;   ///< Share of answers with another request's id.
-  bool Leaving = false; ///< Says so in each answer.
+  double Slow = 1; ///< Factor of service times.
+  double Fail = 0; ///< Share of calls that get an error response.
+  double Cut = 0;  ///< Share of calls aborted before or during the response.
+  double CutAfter =
+      0; ///< Share of calls that run and are aborted without a response.
+  double Stall = 0;     ///< Share of calls that get no response.
+  double Foreign = 0;   ///< Share of responses with another request's id.
+  bool Leaving = false; ///< Each response says that the upstream is leaving.
 };
 
-/// One execution, as the upstream itself saw it.
+/// One execution, as the upstream recorded it.
 struct Execution {
-  std::string RequestId; ///< As sent along.
-  std::string Stage;     ///< As sent along.
-  TimePoint At{};        ///< When it began.
-  bool Ended = false;    ///< It ran to its end.
+  std::string RequestId; ///< Request id that the call carried.
+  std::string Stage;     ///< Stage name that the call carried.
+  TimePoint At{};        ///< Start time.
+  bool Ended = false;    ///< Whether it ran to completion.
 };
 
-/// An upstream that does no work but takes its time.
+/// An upstream that only simulates its service time.
 class StandinUpstream {
 public:
   StandinUpstream(EventLoop &Loop, TimerService &Timers,
-                  const std::string &Host, int Port, StandinShape Shape,
+                  const std::string &Host, int Port, StandinProfile Profile,
                   std::uint64_t Seed);
 
   StandinFaults Faults;              ///< May be changed at any time.
-  std::vector<Execution> Executions; ///< All, in order.
-  bool KeepLog = true;               ///< Whether executions are kept.
+  std::vector<Execution> Executions; ///< Executions in order of their start.
+  bool KeepExecutions = true;        ///< Whether executions are recorded.
 
   /// \return The port it listens on.
   int port() const { return Server.port(); }
 
 private:
-  /// A call in progress.
+  /// A call in progress or queued.
   struct Run {
-    HttpExchangePtr Caller;          ///< Who waits.
-    std::string RequestId;           ///< Sent along.
-    std::string Stage;               ///< Sent along.
-    std::string Input;               ///< Text.
-    std::vector<std::string> Tokens; ///< Of an engine's answer.
-    std::size_t NextToken = 0;       ///< First one not sent.
-    std::size_t LogIndex = 0;        ///< Its execution.
-    std::size_t CutAt = 0;           ///< Tokens before a cut; 0: none.
-    bool Stream = false;             ///< Tokens are sent as they come.
-    TimePoint Began{};               ///< For the reported busy time.
-    TimerId Timer;                   ///< Its next step.
+    HttpExchangePtr Exchange;        ///< Exchange to reply to.
+    std::string RequestId;           ///< Request id that the call carried.
+    std::string Stage;               ///< Stage name that the call carried.
+    std::string Input;               ///< Prompt or input text.
+    std::vector<std::string> Tokens; ///< Tokens of an engine's response.
+    std::size_t NextToken = 0;       ///< Index of the next token to send.
+    std::size_t ExecutionIndex = 0;  ///< Index in Executions.
+    std::size_t CutAt = 0; ///< Tokens sent before the call is aborted; 0: all.
+    bool Stream = false;   ///< Whether the call asked for a stream.
+    TimePoint Began{};     ///< Start, for the reported busy time.
+    TimerId Timer;         ///< Fires at the next step.
   };
 
   void handle(const HttpExchangePtr &Exchange);
   void handleFault(const HttpExchangePtr &Exchange);
-  void handleLog(const HttpExchangePtr &Exchange);
+  void handleExecutions(const HttpExchangePtr &Exchange);
   void begin(const HttpExchangePtr &Exchange, const Json &Body);
   void startRun(std::uint64_t Id);
   void finishStage(std::uint64_t Id);
   void sendToken(std::uint64_t Id);
   void endRun(std::uint64_t Id);
   void callerLeft(std::uint64_t Id);
-  bool misbehave(std::uint64_t Id);
+  /// Draws a fault for a call.
+  /// \return Whether the call must not go on.
+  bool injectFault(std::uint64_t Id);
   double prefillMs(const std::string &Input);
-  HttpHeaders answerHeaders(const Run &R);
+  HttpHeaders responseHeaders(const Run &R);
   bool chance(double Share) { return Share > 0 && randomUnit(Rng) < Share; }
 
-  TimerService &Timers;                        ///< For times.
-  StandinShape Shape;                          ///< Normal behaviour.
-  Random Rng;                                  ///< For faults.
-  std::unordered_map<std::uint64_t, Run> Runs; ///< In progress and waiting.
-  std::deque<std::uint64_t> Waiting;           ///< Stage calls over capacity.
-  std::uint64_t LastRun = 0;                   ///< Counts calls.
-  int Active = 0;                              ///< Calls being worked on.
-  std::deque<std::uint64_t> Cache; ///< Hashes of prefixes, newest last.
-  HttpServer Server;               ///< Last: calls the rest.
+  TimerService &Timers;   ///< Simulates service times.
+  StandinProfile Profile; ///< Behaviour without faults.
+  Random Rng;             ///< Decides which calls get a fault.
+  std::unordered_map<std::uint64_t, Run>
+      Runs;                          ///< Calls in progress and queued, by id.
+  std::deque<std::uint64_t> Waiting; ///< Stage calls queued over capacity.
+  std::uint64_t LastRunId = 0;       ///< Id of the last call.
+  int Active = 0;                    ///< Calls in progress.
+  std::deque<std::uint64_t>
+      Cache;         ///< Hashes of cached prefixes, last used at the back.
+  HttpServer Server; ///< Last member: its handler uses the others.
 };
 
-/// What a stage answers to an input; callers check whole answers with it.
+/// \return The output of a stage for \p Input. Load generators check complete
+/// responses against it.
 std::string standinOutput(PoolKind Kind, const std::string &Stage,
                           const std::string &Input, std::int64_t MaxTokens);
 
-/// The tokens of an engine's answer.
+/// \return The tokens of an engine's response.
 std::vector<std::string> standinTokens(const std::string &Stage,
                                        const std::string &Input,
                                        std::int64_t MaxTokens);
