--- a/src/standin/standin_hosts.h
+++ b/src/standin/standin_hosts.h
@@ -22,11 +22,10 @@
   StandinHosts(EventLoop &Loop, TimerService &Timers, const std::string &Host,
                int Port);
 
-  std::vector<UpstreamSpec>
-      Upstreams;                 ///< Listed upstreams, leaving ones included.
-  std::vector<ListedNode> Nodes; ///< Listed nodes.
-  bool Outage = false;           ///< Aborts connections instead of responding.
-  std::int64_t LagMs = 0;        ///< Delay in ms before a change is visible.
+  std::vector<UpstreamSpec> Upstreams; ///< Listed, leaving ones included.
+  std::vector<ListedNode> Nodes;       ///< Listed nodes.
+  bool Outage = false;    ///< Aborts connections instead of responding.
+  std::int64_t LagMs = 0; ///< Delay in ms before a change is visible.
 
   /// \return The port it listens on.
   int port() const { return Server.port(); }
--- a/src/standin/standin_kv.h
+++ b/src/standin/standin_kv.h
@@ -12,10 +12,9 @@
 
 /// Injected faults and rate limits; set by POST /fault.
 struct KvFaults {
-  bool Outage = false; ///< Aborts connections without a response.
-  std::int64_t LoseAnswers =
-      0; ///< Number of further writes that take effect but get no response.
-  std::int64_t SlowMs = 0;   ///< Delay of every response, in ms.
+  bool Outage = false;          ///< Aborts connections without a response.
+  std::int64_t LoseAnswers = 0; ///< Writes still to take effect unanswered.
+  std::int64_t SlowMs = 0;      ///< Delay of every response, in ms.
   std::int64_t Reads = 2000; ///< Limit of reads a second; open watches count.
   std::int64_t Writes = 500; ///< Limit of writes a second.
 };
@@ -56,16 +55,15 @@
   void wakeWatchers(const std::string &Key);
   bool acquirePermit(bool Write);
 
-  TimerService &Timers;                   ///< Delays and timeouts.
-  std::map<std::string, KvEntry> Entries; ///< By key.
-  std::uint64_t LastIndex = 0;            ///< Index of the last write.
-  std::map<std::uint64_t, Watcher>
-      Watchers;                    ///< Open watches by id, oldest first.
-  std::uint64_t LastWatcherId = 0; ///< Id of the last watch.
-  TimePoint WindowStart{};         ///< Start of the current rate window of 1 s.
-  std::int64_t WindowReads = 0;    ///< Reads admitted in the window.
-  std::int64_t WindowWrites = 0;   ///< Writes admitted in the window.
-  HttpServer Server; ///< Last member: its handler uses the others.
+  TimerService &Timers;                      ///< Delays and timeouts.
+  std::map<std::string, KvEntry> Entries;    ///< By key.
+  std::uint64_t LastIndex = 0;               ///< Index of the last write.
+  std::map<std::uint64_t, Watcher> Watchers; ///< By id, oldest first.
+  std::uint64_t LastWatcherId = 0;           ///< Id of the last watch.
+  TimePoint WindowStart{};       ///< Start of the current rate window of 1 s.
+  std::int64_t WindowReads = 0;  ///< Reads admitted in the window.
+  std::int64_t WindowWrites = 0; ///< Writes admitted in the window.
+  HttpServer Server;             ///< Last member: its handler uses the others.
 };
 
 } // namespace fulmar
--- a/src/standin/standin_site.cpp
+++ b/src/standin/standin_site.cpp
@@ -17,11 +17,11 @@
 }
 
 StandinSite::StandinSite(EventLoop &Loop, TimerService &Timers,
-                         const Bundle &Under, const SitePlan &Plan)
+                         const Bundle &ServedBundle, const SitePlan &Plan)
     : Kv(Loop, Timers, Plan.Host, Plan.KvPort),
       Hosts(Loop, Timers, Plan.Host, Plan.HostsPort) {
   int Port = Plan.FirstUpstreamPort;
-  for (const PoolSpec &Pool : Under.Pools) {
+  for (const PoolSpec &Pool : ServedBundle.Pools) {
     for (int I = 0; I < Plan.UpstreamsPerPool; ++I) {
       auto Upstream = std::make_unique<StandinUpstream>(
           Loop, Timers, Plan.Host, Port,
--- a/src/standin/standin_site.h
+++ b/src/standin/standin_site.h
@@ -14,17 +14,16 @@
   std::string Host = "127.0.0.1"; ///< IP address that all listen on.
   int KvPort = 0;                 ///< Key-value service; 0: any port.
   int HostsPort = 0;              ///< Host list; 0: any port.
-  int FirstUpstreamPort =
-      0; ///< Port of the first upstream, the others follow; 0: any.
-  int UpstreamsPerPool = 4; ///< Spread over three failure domains.
-  double TimeFactor = 1;    ///< Factor of all service times.
-  std::uint64_t Seed = 1;   ///< Seed of random faults.
+  int FirstUpstreamPort = 0;      ///< First of consecutive ports; 0: any.
+  int UpstreamsPerPool = 4;       ///< Spread over three failure domains.
+  double TimeFactor = 1;          ///< Factor of all service times.
+  std::uint64_t Seed = 1;         ///< Seed of random faults.
 };
 
 /// All stand-ins of one deployment.
 class StandinSite {
 public:
-  StandinSite(EventLoop &Loop, TimerService &Timers, const Bundle &Under,
+  StandinSite(EventLoop &Loop, TimerService &Timers, const Bundle &ServedBundle,
               const SitePlan &Plan);
 
   StandinKv Kv;       ///< Key-value service.
--- a/src/standin/standin_upstream.h
+++ b/src/standin/standin_upstream.h
@@ -15,8 +15,7 @@
 /// Behaviour of a stand-in without faults.
 struct StandinProfile {
   PoolKind Kind = PoolKind::Stage; ///< Kind of pool, which sets the protocol.
-  int Capacity =
-      4; ///< Concurrent calls at full speed; more queue or slow down.
+  int Capacity = 4;         ///< Calls at full speed; more queue or slow down.
   double BaseMs = 5;        ///< Time of a stage call or to the first token, ms.
   double TokenMs = 2;       ///< Time of one token at full speed, ms.
   double CachedShare = 0.5; ///< Share of BaseMs saved by a cached prefix.
@@ -28,9 +27,8 @@
   double Slow = 1; ///< Factor of service times.
   double Fail = 0; ///< Share of calls that get an error response.
   double Cut = 0;  ///< Share of calls aborted before or during the response.
-  double CutAfter =
-      0; ///< Share of calls that run and are aborted without a response.
-  double Stall = 0;     ///< Share of calls that get no response.
+  double CutAfter = 0;  ///< Share of calls that run but get no response.
+  double Stall = 0;     ///< Share of calls that hang without a response.
   double Foreign = 0;   ///< Share of responses with another request's id.
   bool Leaving = false; ///< Each response says that the upstream is leaving.
 };
@@ -83,7 +81,7 @@
   void endRun(std::uint64_t Id);
   void callerLeft(std::uint64_t Id);
   /// Draws a fault for a call.
-  /// \return Whether the call must not go on.
+  /// \return Whether the fault ended the call or left it hanging.
   bool injectFault(std::uint64_t Id);
   double prefillMs(const std::string &Input);
   HttpHeaders responseHeaders(const Run &R);
@@ -92,13 +90,11 @@
   TimerService &Timers;   ///< Simulates service times.
   StandinProfile Profile; ///< Behaviour without faults.
   Random Rng;             ///< Decides which calls get a fault.
-  std::unordered_map<std::uint64_t, Run>
-      Runs;                          ///< Calls in progress and queued, by id.
+  std::unordered_map<std::uint64_t, Run> Runs; ///< By id, also queued ones.
   std::deque<std::uint64_t> Waiting; ///< Stage calls queued over capacity.
   std::uint64_t LastRunId = 0;       ///< Id of the last call.
   int Active = 0;                    ///< Calls in progress.
-  std::deque<std::uint64_t>
-      Cache;         ///< Hashes of cached prefixes, last used at the back.
+  std::deque<std::uint64_t> Cache;   ///< Hashes of prefixes, newest last.
   HttpServer Server; ///< Last member: its handler uses the others.
 };
 
