--- a/src/cli/cli_bench.cpp
+++ b/src/cli/cli_bench.cpp
@@ -20,20 +20,22 @@
 DECLARE_uint64(seed);
 DECLARE_string(entry);
 DEFINE_string(upstreams, "",
-              "load: addresses of stand-ins to take executions "
-              "from; with commas; FIRST-LAST for ports");
-DEFINE_string(run_name, "run", "load: first part of request ids");
+              "load: addresses of stand-ins to read executions "
+              "from; comma-separated, or IP:FIRST-LAST for a range of ports");
+DEFINE_string(run_name, "run", "load: prefix of request ids");
 DEFINE_bool(retry, false,
-            "load: callers repeat after `not run` and lost nodes");
+            "load: callers retry after `not run` and lost connections");
 DEFINE_string(leaving, "",
               "load: an upstream that is marked as leaving half "
               "way; needs --hosts");
 DEFINE_string(hosts, "", "load: address of the stand-in of the host list");
-DEFINE_double(leave_share, 0, "load: share of callers that close early");
+DEFINE_double(leave_share, 0,
+              "load: share of callers that close their connection early");
 
 namespace fulmar {
 
-/// Expands `IP:FIRST-LAST` into addresses.
+/// Expands `IP:FIRST-LAST` into one address for each port; splits any other
+/// text at commas.
 static std::vector<std::string> expandRange(const std::string &Text) {
   std::size_t Dash = Text.find('-');
   std::size_t Colon = Text.find(':');
@@ -47,19 +49,19 @@
   return Out;
 }
 
-/// Reads the executions of a stand-in in another process.
-static void fetchExecutions(const std::string &Address, const Bundle &Under,
-                            History &Seen) {
+/// Adds the executions of this run from a stand-in in another process.
+static void fetchExecutions(const std::string &Address,
+                            const Bundle &LoadedBundle, History &Seen) {
   HttpCall Call;
   Call.Address = Address;
   Call.Method = "GET";
   Call.Path = "/executions";
   HttpAnswer Answer = callAndWait(std::move(Call));
-  Diagnostics Wrong;
-  auto List = parseJson(Answer.Body, JsonDialect::Strict, Wrong);
+  Diagnostics Problems;
+  auto List = parseJson(Answer.Body, JsonDialect::Strict, Problems);
   if (!List)
     throw Error(ResultCode::NodeUnreachable,
-                "no stand-in answers at " + Address);
+                "no stand-in responds at " + Address);
   std::vector<std::pair<std::string, Execution>> Runs;
   for (const Json &Item : List->Items) {
     Execution E;
@@ -70,10 +72,11 @@
     if (E.RequestId.rfind(FLAGS_run_name + "-", 0) == 0)
       Runs.emplace_back(Address, std::move(E));
   }
-  addExecutions(Seen, Under, Runs);
+  addExecutions(Seen, LoadedBundle, Runs);
 }
 
-/// Marks an upstream as leaving half way through the load.
+/// Schedules the upstream of --leaving to be marked as leaving half way through
+/// the load.
 static void planLeaving(TimerService &Timers, HttpClient &Client,
                         History &Seen) {
   if (FLAGS_leaving.empty())
@@ -88,9 +91,9 @@
   });
 }
 
-LoadPlan loadPlanFromFlags(const Bundle &Under) {
+LoadPlan loadPlanFromFlags(const Bundle &LoadedBundle) {
   LoadPlan Plan;
-  addSources(Plan, Under, FLAGS_rate);
+  addSources(Plan, LoadedBundle, FLAGS_rate);
   Plan.Entries = splitList(FLAGS_entry);
   Plan.Length = fromMs(FLAGS_seconds * 1e3);
   Plan.Seed = FLAGS_seed;
@@ -98,14 +101,14 @@
 }
 
 static ExitCode benchLoad() {
-  BundlePtr Under = buildBundle(loadBundleItems(FLAGS_bundle), 1);
+  BundlePtr LoadedBundle = buildBundle(loadBundleItems(FLAGS_bundle), 1);
   TimerService Timers;
   EventLoop Loop(Timers);
-  LoadPlan Plan = loadPlanFromFlags(*Under);
+  LoadPlan Plan = loadPlanFromFlags(*LoadedBundle);
   Plan.RunName = FLAGS_run_name;
   Plan.Retry = FLAGS_retry;
   Plan.LeaveShare = FLAGS_leave_share;
-  LoadRun Load(Loop, Timers, Under, Plan);
+  LoadRun Load(Loop, Timers, LoadedBundle, Plan);
   History Seen;
   HttpClient Client(Loop);
   planLeaving(Timers, Client, Seen);
@@ -114,7 +117,7 @@
     Loop.runOnce();
   Seen.Callers = Load.events();
   for (const std::string &Address : expandRange(FLAGS_upstreams))
-    fetchExecutions(Address, *Under, Seen);
+    fetchExecutions(Address, *LoadedBundle, Seen);
   Violations Broken = checkHistory(Seen);
   std::cout << attainmentTable(Seen) << "\n"
             << codeTable(Seen) << "\nexecutions: " << Seen.Executions.size()
@@ -123,21 +126,21 @@
     std::cout << "  " << Detail << "\n";
   if (Broken.total() > 0)
     throw Error(ResultCode::InvariantBroken, "see the lines above");
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
-ExitCode runBench(const Words &Rest) {
-  static const std::vector<std::pair<std::string, ExitCode (*)()>> Parts = {
-      {"load", benchLoad},
-      {"policy", benchPolicy},
-      {"rollout", benchRollout},
-      {"fleet", benchFleet},
-      {"overhead", benchOverhead},
-      {"soak", runSoak},
-      {"quarantine", benchQuarantine},
-      {"pace", benchPace}};
-  for (const auto &[Name, Run] : Parts) {
-    if (Rest.size() == 1 && Rest[0] == Name)
+ExitCode runBench(const PositionalArgs &Args) {
+  static const std::vector<std::pair<std::string, ExitCode (*)()>> Benchmarks =
+      {{"load", benchLoad},
+       {"policy", benchPolicy},
+       {"rollout", benchRollout},
+       {"fleet", benchFleet},
+       {"overhead", benchOverhead},
+       {"soak", runSoak},
+       {"quarantine", benchQuarantine},
+       {"pace", benchPace}};
+  for (const auto &[Name, Run] : Benchmarks) {
+    if (Args.size() == 1 && Args[0] == Name)
       return Run();
   }
   throw Error(ResultCode::UsageError,
--- a/src/cli/cli_bench.h
+++ b/src/cli/cli_bench.h
@@ -7,28 +7,31 @@
 
 namespace fulmar {
 
-/// Makes a load from the flags: all organisations and their pipelines.
-LoadPlan loadPlanFromFlags(const Bundle &Under);
+/// Builds a load plan from the flags, with all organisations of a bundle and
+/// their pipelines.
+LoadPlan loadPlanFromFlags(const Bundle &LoadedBundle);
 
-/// Compares policies in virtual time.
+/// Compares router policies in virtual time.
 ExitCode benchPolicy();
 
-/// Accepts changes and measures until they are in force on running nodes.
+/// Accepts bundle changes and measures how long each takes to be in force on
+/// all running nodes.
 ExitCode benchRollout();
 
-/// Measures what one node adds to a request.
+/// Measures the latency and processor time that one node adds to a request.
 ExitCode benchOverhead();
 
-/// Reads running nodes' metrics twice and prints rates.
+/// Reads the metrics of running nodes twice and prints the rates of counters.
 ExitCode benchFleet();
 
-/// Compares ways to find out requests that crash upstreams, in virtual time.
+/// Compares ways to detect requests that crash upstreams, in virtual time.
 ExitCode benchQuarantine();
 
-/// Compares ways in which nodes keep a limit of one upstream, in virtual time.
+/// Compares ways in which nodes jointly keep the rate limit of one upstream, in
+/// virtual time.
 ExitCode benchPace();
 
-/// Runs the platform's side of a soak of real nodes, and checks what it saw.
+/// Runs the platform side of a soak test of real nodes and checks the results.
 ExitCode runSoak();
 
 } // namespace fulmar
--- a/src/cli/cli_blocking.cpp
+++ b/src/cli/cli_blocking.cpp
@@ -1,4 +1,4 @@
-/// \file cli_blocking.cpp Calls of commands, which wait for each answer.
+/// \file cli_blocking.cpp Blocking HTTP and key-value calls.
 #include "cli/cli_blocking.h"
 
 #include "core/text.h"
@@ -23,9 +23,9 @@
   return Out;
 }
 
-CommandKv::CommandKv(std::string A) : Address(std::move(A)) {}
+BlockingConsulKv::BlockingConsulKv(std::string A) : Address(std::move(A)) {}
 
-KvStatus CommandKv::get(const std::string &Key, KvEntry &Out) {
+KvStatus BlockingConsulKv::get(const std::string &Key, KvEntry &Out) {
   TimerService Timers;
   EventLoop Loop(Timers);
   HttpClient Client(Loop);
@@ -40,8 +40,8 @@
   return Result;
 }
 
-KvStatus CommandKv::cas(const std::string &Key, const std::string &Value,
-                        std::uint64_t Index) {
+KvStatus BlockingConsulKv::cas(const std::string &Key, const std::string &Value,
+                               std::uint64_t Index) {
   TimerService Timers;
   EventLoop Loop(Timers);
   HttpClient Client(Loop);
--- a/src/cli/cli_blocking.h
+++ b/src/cli/cli_blocking.h
@@ -1,4 +1,4 @@
-/// \file cli_blocking.h Calls of commands, which wait for each answer.
+/// \file cli_blocking.h Blocking HTTP and key-value calls.
 #ifndef FULMARSTEP_CLI_BLOCKING_H
 #define FULMARSTEP_CLI_BLOCKING_H
 
@@ -7,15 +7,15 @@
 
 namespace fulmar {
 
-/// Makes one call and waits for its answer.
-/// \param OnChunk gets parts of the body as they come; may be empty.
+/// Sends one request and blocks until the response is complete.
+/// \param OnChunk receives chunks of the body as they arrive; may be empty.
 HttpAnswer callAndWait(HttpCall Call,
                        std::function<void(std::string_view)> OnChunk = {});
 
-/// The key-value service at an address.
-class CommandKv : public BlockingKv {
+/// Blocking client of the key-value service at an address.
+class BlockingConsulKv : public BlockingKv {
 public:
-  explicit CommandKv(std::string Address);
+  explicit BlockingConsulKv(std::string Address);
 
   KvStatus get(const std::string &Key, KvEntry &Out) override;
   KvStatus cas(const std::string &Key, const std::string &Value,
@@ -25,7 +25,7 @@
   std::string Address; ///< IP:PORT.
 };
 
-/// Splits a list at commas.
+/// Splits a comma-separated list.
 std::vector<std::string> splitList(const std::string &Text);
 
 } // namespace fulmar
--- a/src/cli/cli_demo.cpp
+++ b/src/cli/cli_demo.cpp
@@ -9,14 +9,15 @@
 #include "result_type.h"
 
 DEFINE_string(bundle, "examples/avstamning-bundle.json", "bundle source file");
-DEFINE_double(seconds, 8, "length of the load, in seconds");
+DEFINE_double(seconds, 8, "duration of the load in seconds");
 DEFINE_double(rate, 150, "requests a second over all organisations");
 DEFINE_uint64(seed, 1, "seed of arrivals, inputs and faults");
-DEFINE_bool(platform, false, "demo: nodes before a stand-in of the platform");
+DEFINE_bool(platform, false,
+            "demo: gateway nodes in front of a stand-in of the platform");
 
 namespace fulmar {
 
-ExitCode runDemoCommand(const Words &) {
+ExitCode runDemoCommand(const PositionalArgs &) {
   if (FLAGS_platform)
     return runPlatformDemo();
   DemoPlan Plan;
@@ -32,7 +33,7 @@
   std::cout << Result.Tables;
   if (Result.Broken.total() > 0)
     throw Error(ResultCode::InvariantBroken, "see the lines above");
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_demo_platform.cpp
+++ b/src/cli/cli_demo_platform.cpp
@@ -1,5 +1,5 @@
-/// \file cli_demo_platform.cpp `demo --platform`: nodes before a stand-in of
-/// the platform, in one process.
+/// \file cli_demo_platform.cpp `demo --platform`: gateway nodes in front of a
+/// stand-in of the platform, in one process.
 #include <iostream>
 
 #include <gflags/gflags.h>
@@ -20,13 +20,13 @@
 namespace fulmar {
 
 static constexpr std::size_t DemoNodes = 3;
-/// Ports of one node: callers, readiness, entries, peers, metrics.
-static constexpr std::size_t PortsOfNode = 5;
+/// Number of ports of a node: callers, readiness, entries, peers, metrics.
+static constexpr std::size_t PortsPerNode = 5;
 
 static GatewaySettings demoSettings(std::size_t Index,
                                     const std::vector<int> &Ports) {
   auto Address = [&](std::size_t I) {
-    return "127.0.0.1:" + std::to_string(Ports[1 + Index * PortsOfNode + I]);
+    return "127.0.0.1:" + std::to_string(Ports[1 + Index * PortsPerNode + I]);
   };
   GatewaySettings S;
   S.NodeId = "node" + std::to_string(Index);
@@ -35,7 +35,7 @@
   S.ReadyAddress = Address(1);
   S.EntryAddress = Address(2);
   S.PeerAddress = Address(3);
-  S.MetricsPort = Ports[1 + Index * PortsOfNode + 4];
+  S.MetricsPort = Ports[1 + Index * PortsPerNode + 4];
   S.KvAddress = "127.0.0.1:" + std::to_string(Ports[0]);
   return S;
 }
@@ -43,7 +43,7 @@
 ExitCode runPlatformDemo() {
   TimerService Timers;
   EventLoop Loop(Timers);
-  std::vector<int> Ports = freePorts("127.0.0.1", 1 + DemoNodes * PortsOfNode);
+  std::vector<int> Ports = freePorts("127.0.0.1", 1 + DemoNodes * PortsPerNode);
   platform::SoakPlan Plan;
   Plan.ProxyPort = Ports[0];
   Plan.Seconds = FLAGS_seconds;
@@ -74,7 +74,7 @@
     std::cout << "  " << Line << "\n";
   if (!Report.Broken.empty())
     throw Error(ResultCode::InvariantBroken, "a promise was broken");
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_explain.cpp
+++ b/src/cli/cli_explain.cpp
@@ -7,18 +7,19 @@
 
 namespace fulmar {
 
-/// Context lines printed at most; the last ones matter.
-static constexpr std::size_t MaxContext = 20;
+/// Maximum number of context lines printed; the latest are kept.
+static constexpr std::size_t MaxContextLines = 20;
 
+/// Prints the last \p MaxCount records.
 static void printRecords(const std::vector<LogRecord> &Records,
-                         std::size_t Most) {
-  std::size_t From = Records.size() > Most ? Records.size() - Most : 0;
+                         std::size_t MaxCount) {
+  std::size_t From = Records.size() > MaxCount ? Records.size() - MaxCount : 0;
   for (std::size_t I = From; I < Records.size(); ++I)
     std::cout << "  " << Records[I].Time << "  " << Records[I].Source << "  "
               << Records[I].Text << "\n";
 }
 
-ExitCode runExplain(const Words &Args) {
+ExitCode runExplain(const PositionalArgs &Args) {
   if (Args.size() != 1)
     throw Error(
         ResultCode::UsageError,
@@ -40,8 +41,8 @@
   printRecords(Found.Own, Found.Own.size());
   if (!Found.Context.empty())
     std::cout << "its configuration and upstreams\n";
-  printRecords(Found.Context, MaxContext);
-  return ExitCode::Good;
+  printRecords(Found.Context, MaxContextLines);
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_fleet.cpp
+++ b/src/cli/cli_fleet.cpp
@@ -19,9 +19,9 @@
 DECLARE_string(signer);
 DECLARE_double(seconds);
 DEFINE_int32(changes, 100, "rollout: changes to accept");
-DEFINE_int32(interval_ms, 300, "rollout: time between two changes");
+DEFINE_int32(interval_ms, 300, "rollout: interval between two changes");
 
-DEFINE_int32(poll_ms, 5, "rollout: time between two looks at a node");
+DEFINE_int32(poll_ms, 5, "rollout: poll interval of a node");
 
 namespace fulmar {
 
@@ -48,11 +48,12 @@
       Run.Reverted, Run.Behind);
   if (Run.Reverted + Run.Behind > 0)
     throw Error(ResultCode::InvariantBroken,
-                "a node went back, or did not follow");
-  return ExitCode::Good;
+                "a node reverted to an older version, or is behind");
+  return ExitCode::Success;
 }
 
-/// Prints what grew between two readings, for each node and second.
+/// Prints for each metric its mean and maximum over the nodes: counters as the
+/// increase per second between two readings, other metrics as last read.
 static void printRates(const FleetMetrics &Before, const FleetMetrics &After,
                        double Seconds) {
   std::printf("%-42s %12s %12s\n", "metric, a node and second", "mean", "max");
@@ -79,7 +80,7 @@
       static_cast<std::int64_t>(FLAGS_seconds * 1e6)));
   FleetMetrics After = readMetrics(access());
   printRates(Before, After, FLAGS_seconds);
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_gateway.cpp
+++ b/src/cli/cli_gateway.cpp
@@ -15,8 +15,8 @@
 
 namespace fulmar {
 
-/// Reads the settings again. Addresses and bounds are those of the start; only
-/// the level of the log changes while the node runs.
+/// Reloads the settings. Only the log level changes while the node runs;
+/// addresses and limits stay as they were at the start.
 static void reloadSettings(const std::string &Path) {
   try {
     GatewaySettings Next = loadGatewaySettings(Path);
@@ -28,7 +28,7 @@
   }
 }
 
-ExitCode runGateway(const Words &) {
+ExitCode runGateway(const PositionalArgs &) {
   if (FLAGS_settings.empty())
     throw Error(ResultCode::UsageError, "gateway needs --settings FILE");
   TimerService Timers;
@@ -45,7 +45,7 @@
   });
   Stop.arm([&Served] { Served.drain(); });
   Loop.run();
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_help.cpp
+++ b/src/cli/cli_help.cpp
@@ -1,4 +1,5 @@
-/// \file cli_help.cpp The subcommand `help`: reference pages from the tables.
+/// \file cli_help.cpp The subcommand `help`: prints reference pages from the
+/// tables.
 #include <iostream>
 
 #include "bundle_func.h"
@@ -8,8 +9,8 @@
 
 namespace fulmar {
 
-ExitCode runHelp(const Words &Rest) {
-  std::string Page = Rest.empty() ? "" : Rest[0];
+ExitCode runHelp(const PositionalArgs &Args) {
+  std::string Page = Args.empty() ? "" : Args[0];
   if (Page == "settings")
     std::cout << settingsMarkdown();
   else if (Page == "bundle")
@@ -19,7 +20,7 @@
   else
     throw Error(ResultCode::UsageError,
                 "help has the pages: settings, bundle, codes");
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_overhead.cpp
+++ b/src/cli/cli_overhead.cpp
@@ -1,4 +1,5 @@
-/// \file cli_overhead.cpp `bench overhead`: what one node adds to a request.
+/// \file cli_overhead.cpp `bench overhead`: latency and processor time that one
+/// node adds to a request.
 #include <cstdio>
 
 #include <gflags/gflags.h>
@@ -28,11 +29,11 @@
 
 ExitCode benchOverhead() {
   FleetAccess Fleet{splitList(FLAGS_nodes), FLAGS_token, ""};
-  BundlePtr Under = buildBundle(loadBundleItems(FLAGS_bundle), 1);
+  BundlePtr LoadedBundle = buildBundle(loadBundleItems(FLAGS_bundle), 1);
   TimerService Timers;
   EventLoop Loop(Timers);
-  LoadPlan Plan = loadPlanFromFlags(*Under);
-  LoadRun Load(Loop, Timers, Under, Plan);
+  LoadPlan Plan = loadPlanFromFlags(*LoadedBundle);
+  LoadRun Load(Loop, Timers, LoadedBundle, Plan);
   DirectRun Direct(Loop, Timers, splitList(FLAGS_upstreams), FLAGS_rate,
                    Plan.Length, FLAGS_seed + 1);
   double Before = cpuSeconds(Fleet);
@@ -46,7 +47,8 @@
   std::size_t Good = 0;
   for (const CallerEvent &E : Seen.Callers)
     Good += E.Code == 1000 ? 1 : 0;
-  auto Calls = static_cast<double>(Good * Under->Pipelines[0].Stages.size());
+  auto Calls =
+      static_cast<double>(Good * LoadedBundle->Pipelines[0].Stages.size());
   std::printf("rate=%.0f requests=%zu complete=%zu node_p50_ms=%.2f "
               "node_p99_ms=%.2f direct_p50_ms=%.2f direct_p99_ms=%.2f "
               "added_p50_ms=%.2f added_p99_ms=%.2f cpu_us_per_request=%.0f "
@@ -58,7 +60,7 @@
               latencyQuantile(Seen, 0.99) -
                   quantileOf(Direct.latencies(), 0.99),
               Cpu * 1e6 / static_cast<double>(Good), Calls / Cpu);
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_pace.cpp
+++ b/src/cli/cli_pace.cpp
@@ -1,5 +1,5 @@
-/// \file cli_pace.cpp `bench pace`: ways in which all nodes together keep a
-/// limit of one upstream, compared.
+/// \file cli_pace.cpp `bench pace`: compares ways in which all nodes jointly
+/// keep the rate limit of one upstream.
 #include <algorithm>
 #include <cstdio>
 #include <string>
@@ -14,7 +14,7 @@
 
 namespace fulmar {
 
-/// Sums of several runs; Most is that of the worst one.
+/// \return Sums over several runs; Most is the maximum of all runs.
 static PaceOutcome runSeeds(PacePlan Plan, PaceWay Way) {
   PaceOutcome Sum;
   for (int I = 0; I < FLAGS_seeds; ++I) {
@@ -43,7 +43,7 @@
   std::printf(
       "%d runs of each row; most: sends within 4 s in the worst run;\n"
       "over: sends above half as much again and five; use: part of the\n"
-      "limit while much is asked for, part of the requests else\n",
+      "limit under heavy load, part of the requests otherwise\n",
       FLAGS_seeds);
   std::printf("%5s %5s %5s  %-13s %5s %8s %10s %10s %9s\n", "nodes", "known",
               "limit", "way", "most", "over", "heavy use", "light use",
@@ -62,7 +62,7 @@
       }
     }
   }
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_policy.cpp
+++ b/src/cli/cli_policy.cpp
@@ -1,4 +1,4 @@
-/// \file cli_policy.cpp `bench policy`: the router's decisions, compared.
+/// \file cli_policy.cpp `bench policy`: compares router policies.
 #include <cstdio>
 #include <iostream>
 
@@ -14,8 +14,8 @@
 DECLARE_string(bundle);
 DECLARE_uint64(seed);
 DECLARE_bool(json);
-DEFINE_string(scenario, "all", "policy: one scenario, or all");
-DEFINE_string(svg, "", "policy: file for a plot of attainment over load");
+DEFINE_string(scenario, "all", "policy: name of a scenario, or all");
+DEFINE_string(svg, "", "policy: file for an SVG plot of attainment over load");
 
 namespace fulmar {
 
@@ -60,7 +60,7 @@
   std::cout << writeJson(Out) << "\n";
 }
 
-/// A polyline of attainment over load.
+/// \return An SVG polyline of attainment over load.
 static std::string
 polyline(const std::vector<std::pair<double, double>> &Points,
          const char *Colour) {
@@ -72,10 +72,10 @@
   return Out + "'/>\n";
 }
 
-static void writePlot(const BundlePtr &Under) {
+static void writePlot(const BundlePtr &LoadedBundle) {
   std::vector<std::pair<double, double>> Base, Final;
   for (double Load : {0.25, 0.5, 0.75, 0.9, 1.0, 1.2, 1.5, 2.0, 3.0, 4.0}) {
-    PolicyPlan Plan = standardPlan(Under, FLAGS_seed);
+    PolicyPlan Plan = standardPlan(LoadedBundle, FLAGS_seed);
     scaleLoad(Plan, Load);
     Final.emplace_back(Load, runPolicy(Plan).OnTime);
     Plan.Policy = baselinePolicy();
@@ -97,7 +97,7 @@
 }
 
 ExitCode benchPolicy() {
-  BundlePtr Under = buildBundle(loadBundleItems(FLAGS_bundle), 1);
+  BundlePtr LoadedBundle = buildBundle(loadBundleItems(FLAGS_bundle), 1);
   std::vector<std::string> Names = {FLAGS_scenario};
   if (FLAGS_scenario == "all")
     Names = scenarioNames();
@@ -105,7 +105,7 @@
     printHeader();
   std::size_t Broken = 0;
   for (const std::string &Name : Names) {
-    PolicyPlan Plan = scenarioPlan(Name, Under, FLAGS_seed);
+    PolicyPlan Plan = scenarioPlan(Name, LoadedBundle, FLAGS_seed);
     auto Show = FLAGS_json ? printJson : printRow;
     PolicyResult Final = runPolicy(Plan);
     Plan.Policy = baselinePolicy();
@@ -120,10 +120,10 @@
       std::cout << "  " << Detail << "\n";
   }
   if (!FLAGS_svg.empty())
-    writePlot(Under);
+    writePlot(LoadedBundle);
   if (Broken > 0)
     throw Error(ResultCode::InvariantBroken, "see the lines above");
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_quarantine.cpp
+++ b/src/cli/cli_quarantine.cpp
@@ -1,5 +1,5 @@
-/// \file cli_quarantine.cpp `bench quarantine`: ways to find out requests that
-/// crash upstreams, compared.
+/// \file cli_quarantine.cpp `bench quarantine`: compares ways to detect
+/// requests that crash upstreams.
 #include <algorithm>
 #include <cstdio>
 #include <string>
@@ -16,8 +16,8 @@
 
 /// Sums of several runs.
 struct QuarantineSum {
-  QuarantineOutcome Total; ///< Of all runs.
-  int Worst = 0;           ///< Most sends after the third crash in one run.
+  QuarantineOutcome Total; ///< Sums over all runs.
+  int Worst = 0;           ///< Maximum of sends after the third crash in a run.
 };
 
 static QuarantineSum runSeeds(QuarantinePlan Plan, QuarantineSharing Way) {
@@ -35,10 +35,10 @@
   return Sum;
 }
 
-/// A fleet to compare in, with its name.
+/// A fleet in which the ways are compared.
 struct QuarantineRow {
-  const char *Name;    ///< As printed.
-  QuarantinePlan Plan; ///< Fleet and load.
+  const char *Name;    ///< Label of the row.
+  QuarantinePlan Plan; ///< Size of the fleet, and its load.
 };
 
 static QuarantinePlan fleetOf(int Nodes, int Upstreams, double PerS,
@@ -76,7 +76,7 @@
                   Mean(static_cast<double>(Sum.Total.Messages)));
     }
   }
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_request.cpp
+++ b/src/cli/cli_request.cpp
@@ -1,4 +1,5 @@
-/// \file cli_request.cpp The subcommand `request`: one request, as a caller.
+/// \file cli_request.cpp The subcommand `request`: sends one request as a
+/// caller.
 #include <iostream>
 
 #include <gflags/gflags.h>
@@ -9,18 +10,19 @@
 #include "result_type.h"
 
 DEFINE_string(entry, "127.0.0.1:8080",
-              "caller addresses of some nodes, with commas");
+              "caller addresses of some nodes, comma-separated");
 DEFINE_string(organisation, "", "who asks");
-DEFINE_string(pipeline, "", "which pipeline");
+DEFINE_string(pipeline, "", "name of the pipeline");
 DEFINE_string(key_id, "",
-              "Idempotency-Key; needed where a stage may not run "
+              "Idempotency-Key; required where a stage may not run "
               "twice");
-DEFINE_int64(deadline_ms, 0, "deadline in ms; 0 takes the pipeline's");
-DEFINE_bool(stream, false, "print tokens as they come");
+DEFINE_int64(deadline_ms, 0, "deadline in ms; 0: that of the pipeline");
+DEFINE_bool(stream, false, "print tokens as they arrive");
 
 namespace fulmar {
 
-/// Asks the known nodes for entry addresses, and falls back on the known.
+/// Reads the entry addresses from the first node of --entry that responds.
+/// \throws Error NodeUnreachable when none does.
 static std::vector<std::string> entryAddresses() {
   std::vector<std::string> Known = splitList(FLAGS_entry);
   for (const std::string &Address : Known) {
@@ -30,8 +32,8 @@
     Call.Path = "/v1/entries";
     Call.Timeout = std::chrono::seconds(2);
     HttpAnswer Answer = callAndWait(std::move(Call));
-    Diagnostics Wrong;
-    auto Root = parseJson(Answer.Body, JsonDialect::Strict, Wrong);
+    Diagnostics Problems;
+    auto Root = parseJson(Answer.Body, JsonDialect::Strict, Problems);
     const Json *List = Root ? Root->find("addresses") : nullptr;
     if (!List)
       continue;
@@ -40,17 +42,18 @@
       Out.push_back(Item.Text);
     return Out;
   }
-  throw Error(ResultCode::NodeUnreachable, "no node answers at " + FLAGS_entry);
+  throw Error(ResultCode::NodeUnreachable,
+              "no node responds at " + FLAGS_entry);
 }
 
-ExitCode runRequest(const Words &Rest) {
-  if (FLAGS_organisation.empty() || FLAGS_pipeline.empty() || Rest.size() != 1)
+ExitCode runRequest(const PositionalArgs &Args) {
+  if (FLAGS_organisation.empty() || FLAGS_pipeline.empty() || Args.size() != 1)
     throw Error(ResultCode::UsageError,
                 "request needs --organisation, --pipeline and one INPUT");
   Json Body;
   Body.set("organisation", FLAGS_organisation);
   Body.set("pipeline", FLAGS_pipeline);
-  Body.set("input", Rest[0]).set("stream", FLAGS_stream);
+  Body.set("input", Args[0]).set("stream", FLAGS_stream);
   HttpCall Call;
   Call.Address = entryAddresses().front();
   Call.Path = "/v1/requests";
@@ -66,10 +69,11 @@
   HttpAnswer Answer = callAndWait(std::move(Call), Print);
   if (Answer.Status == 0)
     throw Error(ResultCode::NodeUnreachable,
-                Answer.MaySent ? "the node was lost; the outcome is unknown"
-                               : "no connection; not run");
+                Answer.MaySent
+                    ? "the connection was lost; the outcome is unknown"
+                    : "no connection; not run");
   std::cout << Answer.Body << "\n";
-  return Answer.Status == HttpOk ? ExitCode::Good : ExitCode::Failed;
+  return Answer.Status == HttpOk ? ExitCode::Success : ExitCode::Failed;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_serve.cpp
+++ b/src/cli/cli_serve.cpp
@@ -12,7 +12,7 @@
 
 namespace fulmar {
 
-ExitCode runServe(const Words &) {
+ExitCode runServe(const PositionalArgs &) {
   if (FLAGS_settings.empty())
     throw Error(ResultCode::UsageError, "serve needs --settings FILE");
   TimerService Timers;
@@ -23,7 +23,7 @@
   Node Served(Loop, Timers, Config);
   Stop.arm([&Served] { Served.drain(); });
   Loop.run();
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_soak.cpp
+++ b/src/cli/cli_soak.cpp
@@ -1,4 +1,4 @@
-/// \file cli_soak.cpp `bench soak`: the platform's side of a soak.
+/// \file cli_soak.cpp `bench soak`: the platform side of a soak test.
 #include <iostream>
 
 #include <gflags/gflags.h>
@@ -35,7 +35,7 @@
     std::cout << "BROKEN " << Line << "\n";
   if (!Report.Broken.empty())
     throw Error(ResultCode::InvariantBroken, "a promise was broken");
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_status.cpp
+++ b/src/cli/cli_status.cpp
@@ -1,4 +1,5 @@
-/// \file cli_status.cpp The subcommand `status`: what a node sees.
+/// \file cli_status.cpp The subcommand `status`: prints a node's members and
+/// pools.
 #include <cstdio>
 #include <iostream>
 
@@ -11,9 +12,9 @@
 #include "result_type.h"
 
 DEFINE_string(nodes, "127.0.0.1:8081",
-              "operator addresses of some nodes, with commas");
-DEFINE_string(token, "", "operators' token");
-DEFINE_bool(json, false, "print JSON for machines");
+              "operator addresses of some nodes, comma-separated");
+DEFINE_string(token, "", "operator token");
+DEFINE_bool(json, false, "print JSON");
 
 namespace fulmar {
 
@@ -27,11 +28,11 @@
   HttpAnswer Answer = callAndWait(std::move(Call));
   if (Answer.Status == 401)
     throw Error(ResultCode::Unauthorised,
-                "the token is not that of " + Address);
-  Diagnostics Wrong;
+                "operator token refused by " + Address);
+  Diagnostics Problems;
   if (Answer.Status != HttpOk)
     return std::nullopt;
-  return parseJson(Answer.Body, JsonDialect::Strict, Wrong);
+  return parseJson(Answer.Body, JsonDialect::Strict, Problems);
 }
 
 static void printMembers(const Json &List) {
@@ -56,11 +57,12 @@
   }
 }
 
-ExitCode runStatus(const Words &) {
+ExitCode runStatus(const PositionalArgs &) {
   for (const std::string &Address : splitList(FLAGS_nodes)) {
     auto Status = nodeStatus(Address);
     if (!Status)
-      throw Error(ResultCode::NodeUnreachable, "no node answers at " + Address);
+      throw Error(ResultCode::NodeUnreachable,
+                  "no node responds at " + Address);
     if (FLAGS_json) {
       std::cout << writeJson(*Status) << "\n";
       continue;
@@ -75,7 +77,7 @@
     printMembers(*Status->find("members"));
     printPools(*Status->find("pools"));
   }
-  return ExitCode::Good;
+  return ExitCode::Success;
 }
 
 } // namespace fulmar
--- a/src/cli/cli_status.h
+++ b/src/cli/cli_status.h
@@ -1,4 +1,4 @@
-/// \file cli_status.h Asking a node for its status.
+/// \file cli_status.h Queries the status of a node.
 #ifndef FULMARSTEP_CLI_STATUS_H
 #define FULMARSTEP_CLI_STATUS_H
 
@@ -9,9 +9,9 @@
 
 namespace fulmar {
 
-/// Asks the node at an operators' address.
-/// \return Nothing when it does not answer.
-/// \throws Error Unauthorised.
+/// Queries the status of the node at an operator address.
+/// \return Nothing when the node does not respond with a status.
+/// \throws Error Unauthorised when the node refuses the token.
 std::optional<Json> nodeStatus(const std::string &Address);
 
 } // namespace fulmar
--- a/src/cli/cli_stop.h
+++ b/src/cli/cli_stop.h
@@ -1,4 +1,4 @@
-/// \file cli_stop.h Stops a node at SIGTERM, also while it starts.
+/// \file cli_stop.h Stops a node on SIGTERM, also during its start.
 #ifndef FULMARSTEP_CLI_STOP_H
 #define FULMARSTEP_CLI_STOP_H
 
@@ -8,28 +8,29 @@
 
 namespace fulmar {
 
-/// Hears stops from before a node exists: one that comes during the start is a
-/// stop too.
+/// Records stop signals from before the node exists, so that a signal during
+/// the start also stops it.
 class StopLatch {
 public:
   explicit StopLatch(EventLoop &Loop) {
     Loop.onSignal([this] {
-      Asked = true;
+      StopRequested = true;
       if (Drain)
         Drain();
     });
   }
 
-  /// The node is there, and \p Fn begins its stop.
+  /// Sets \p Fn, which drains the node; calls it at once if a stop signal has
+  /// already arrived.
   void arm(std::function<void()> Fn) {
     Drain = std::move(Fn);
-    if (Asked)
+    if (StopRequested)
       Drain();
   }
 
 private:
-  bool Asked = false;          ///< A stop has come.
-  std::function<void()> Drain; ///< Begins it; empty while starting.
+  bool StopRequested = false;  ///< Whether a stop signal has arrived.
+  std::function<void()> Drain; ///< Drains the node; empty during the start.
 };
 
 } // namespace fulmar
--- a/src/cli/cli_type.h
+++ b/src/cli/cli_type.h
@@ -8,38 +8,38 @@
 
 namespace fulmar {
 
-/// Exit codes of the program; in docs/OPERATIONS.md too.
+/// Exit codes of the program; docs/OPERATIONS.md lists them.
 enum class ExitCode : int {
-  Good = 0,    ///< Done.
-  Failed = 1,  ///< Not done; a numbered error says why.
+  Success = 0, ///< The command succeeded.
+  Failed = 1,  ///< The command failed; a numbered error gives the cause.
   Usage = 2,   ///< The command line is wrong.
   Count = 3,   ///< Number of codes.
   Invalid = 4, ///< Not a code.
 };
 
-/// Words of the command line after the subcommand that are not flags.
-using Words = std::vector<std::string>;
+/// Positional arguments after the subcommand.
+using PositionalArgs = std::vector<std::string>;
 
 /// One subcommand.
 struct Subcommand {
-  std::string_view Name;               ///< First word.
-  std::string_view Usage;              ///< Its words, after the name.
-  std::string_view Help;               ///< What it does, for a newcomer.
-  std::vector<std::string_view> Flags; ///< Flags that it takes.
-  ExitCode (*Run)(const Words &);      ///< Does it.
+  std::string_view Name;  ///< First argument of the command line.
+  std::string_view Usage; ///< Summary of its arguments, after the name.
+  std::string_view Help;  ///< One-line description.
+  std::vector<std::string_view> Flags;     ///< Names of accepted flags.
+  ExitCode (*Run)(const PositionalArgs &); ///< Executes the subcommand.
 };
 
-ExitCode runServe(const Words &);
-ExitCode runGateway(const Words &);
-ExitCode runBundle(const Words &);
-ExitCode runStatus(const Words &);
-ExitCode runRequest(const Words &);
-ExitCode runDemoCommand(const Words &);
+ExitCode runServe(const PositionalArgs &);
+ExitCode runGateway(const PositionalArgs &);
+ExitCode runBundle(const PositionalArgs &);
+ExitCode runStatus(const PositionalArgs &);
+ExitCode runRequest(const PositionalArgs &);
+ExitCode runDemoCommand(const PositionalArgs &);
 ExitCode runPlatformDemo();
-ExitCode runStandin(const Words &);
-ExitCode runBench(const Words &);
-ExitCode runExplain(const Words &);
-ExitCode runHelp(const Words &);
+ExitCode runStandin(const PositionalArgs &);
+ExitCode runBench(const PositionalArgs &);
+ExitCode runExplain(const PositionalArgs &);
+ExitCode runHelp(const PositionalArgs &);
 
 } // namespace fulmar
 
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-/// \file main.cpp Finds the subcommand and its flags.
+/// \file main.cpp Parses the command line and runs the subcommand.
 #include <algorithm>
 #include <cstdio>
 #include <iostream>
@@ -21,7 +21,7 @@
     {"serve", "--settings FILE", "Run a node.", {"settings"}, runServe},
     {"gateway",
      "--settings FILE",
-     "Run a node that passes requests on, on the users' platform.",
+     "Run a gateway node, which forwards requests on the users' platform.",
      {"settings"},
      runGateway},
     {"bundle",
@@ -32,7 +32,7 @@
      runBundle},
     {"status",
      "--nodes IP:OPERATOR_PORT --token TOKEN",
-     "Show what a node sees.",
+     "Show a node's bundle, members and pools.",
      {"nodes", "token", "json"},
      runStatus},
     {"request",
@@ -42,7 +42,7 @@
      runRequest},
     {"demo",
      "[--bundle FILE] [--seconds N] [--platform]",
-     "Run a node and stand-ins under a mixed load with faults; no set-up.",
+     "Run a node and stand-ins under a mixed load with faults, without set-up.",
      {"bundle", "seconds", "rate", "seed", "platform"},
      runDemoCommand},
     {"standin",
@@ -62,7 +62,7 @@
      runBench},
     {"explain",
      "REQUEST_ID < LOGS",
-     "Print what the logs of all nodes say about one request, in order.",
+     "Print the log lines of all nodes about one request, in order of time.",
      {},
      runExplain},
     {"help", "[settings|bundle|codes]", "Print reference pages.", {}, runHelp},
@@ -97,7 +97,8 @@
   }
 }
 
-/// Sets one flag, or says clearly why not.
+/// Sets one flag.
+/// \throws Error UsageError for an unknown flag or a malformed value.
 static void setFlag(const Subcommand &Sub, const std::string &Name,
                     const std::string &Value) {
   std::vector<std::string_view> Known = Sub.Flags;
@@ -122,10 +123,12 @@
          Info.type == "bool";
 }
 
-/// Reads flags as `--name value`, `--name=value`, and `--name` for truths.
-/// \return Nothing when help was asked for and printed.
+/// Reads flags as `--name value`, `--name=value`, and `--name` for booleans;
+/// other arguments go to \p Out.
+/// \return False when the help was requested and printed.
 static bool readFlags(const Subcommand &Sub,
-                      const std::vector<std::string> &Args, Words &Out) {
+                      const std::vector<std::string> &Args,
+                      PositionalArgs &Out) {
   for (std::size_t I = 0; I < Args.size(); ++I) {
     if (Args[I] == "--help" || Args[I] == "-h") {
       printHelp(Sub);
@@ -171,23 +174,23 @@
   }
   if (Args[0] == "--help" || Args[0] == "-h") {
     printUsage(std::cout);
-    return ExitCode::Good;
+    return ExitCode::Success;
   }
   if (Args[0] == "--version") {
     std::cout << "fulmarstep " FULMARSTEP_VERSION "\n";
-    return ExitCode::Good;
+    return ExitCode::Success;
   }
   const Subcommand &Sub = findSubcommand(Args[0]);
   Args.erase(Args.begin());
-  Words Rest;
-  if (!readFlags(Sub, Args, Rest))
-    return ExitCode::Good;
+  PositionalArgs Positional;
+  if (!readFlags(Sub, Args, Positional))
+    return ExitCode::Success;
   auto Level = logLevelByName(FLAGS_log_level);
   if (!Level)
     throw Error(ResultCode::UsageError,
                 "--log_level: expected debug, info, warning or error");
   logInit(*Level);
-  return Sub.Run(Rest);
+  return Sub.Run(Positional);
 }
 
 } // namespace fulmar
