--- a/tests/cli.sh
+++ b/tests/cli.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What the command line answers to mistakes: one numbered line, the right exit
+# Checks how the command line reports errors: one numbered line, the right exit
 # code, and nothing on standard output.
 set -u
 program=${FULMARSTEP:-build/fulmarstep}
@@ -38,13 +38,14 @@
 check 1 "bad.json:1: caller_address: is missing" gateway --settings "$dir/bad.json"
 check 2 "explain needs one request id" explain
 check 1 "error 5014 NotFound: no line of the request r1" explain r1 </dev/null
-# Nodes before the stand-in of the platform: the whole path.
+# End to end: gateway nodes in front of the stand-in of the platform.
 check 0 "" demo --platform --seconds 1
 grep -q "promises broken 0" "$dir/stdout" || { echo "demo --platform: $(cat "$dir/stdout")"; failed=1; }
 check 2 "bench needs one of" bench nothing
 check 0 "" --version
 check 0 "" bundle check --file examples/avstamning-bundle.json
-# The way of a bundle, up to a file: keys, signature, and a stranger's key.
+# Bundle steps that need only files: key generation, signing, and a refused
+# signature of an untrusted key.
 "$program" bundle keygen --out "$dir/key" >"$dir/pub" || failed=1
 check 0 "" bundle sign --file examples/avstamning-bundle.json --version_number 1 --key "$dir/key" --signer op --note n --out "$dir/b"
 check 1 "error 5007 SignatureInvalid" bundle accept --file "$dir/b" --operator_keys "op:$(printf '0%.0s' $(seq 64))" --kv 127.0.0.1:1
