--- a/tests/test_demo.cpp
+++ b/tests/test_demo.cpp
@@ -1,5 +1,5 @@
-// The whole path on real sockets: caller, node, stand-ins. Only promises are
-// checked; how fast the machine is has no say.
+// End-to-end tests on real sockets with callers, a node and stand-ins. They
+// check only invariants, which do not depend on the speed of the machine.
 #include "bench/demo.h"
 
 using namespace fulmar;
@@ -11,7 +11,7 @@
   Plan.Rate = 60;
   DemoResult Result = runDemo(Plan);
   INFO(Result.Tables);
-  THEN("no promise is broken, and there was something to break") {
+  THEN("no promise is broken, and the load reached every checked part") {
     CHECK(Result.Broken.total() == 0);
     CHECK(Result.Seen.Callers.size() > 40);
     CHECK(Result.Seen.Executions.size() > 80);
@@ -19,10 +19,10 @@
   }
 }
 
-SCENARIO("a service runs its calls and loses the answers") {
-  // Symptom: a posting tag stands twice in the books. Sequence: the service
-  // books the tag, the connection breaks before its answer, the router sends
-  // the call again. Cause: taking a lost answer for a call that was not run.
+SCENARIO("a service runs calls whose responses are lost") {
+  // Guards against a posting tag that is booked twice: the service books it,
+  // the connection breaks before the response, and the router takes the lost
+  // response for a call that was not run and sends the call again.
   DemoPlan Plan;
   Plan.BundlePath = SOURCE_DIR "/examples/avstamning-bundle.json";
   Plan.Length = std::chrono::seconds(2);
@@ -34,7 +34,7 @@
   std::size_t Unknown = 0;
   for (const CallerEvent &E : Result.Seen.Callers)
     Unknown += E.Code == 4000 ? 1 : 0;
-  THEN("callers hear that the outcome is unknown, and nothing runs twice") {
+  THEN("callers get the result OutcomeUnknown, and no call runs twice") {
     CHECK(Result.Broken.total() == 0);
     CHECK(Unknown > 0);
   }
