--- a/src/core/enum_names.h
+++ b/src/core/enum_names.h
@@ -1,4 +1,4 @@
-/// \file enum_names.h Tables that give each enumerator its written name.
+/// \file enum_names.h Tables of the names of enumerators.
 #ifndef FULMARSTEP_CORE_ENUM_NAMES_H
 #define FULMARSTEP_CORE_ENUM_NAMES_H
 
@@ -9,7 +9,7 @@
 
 namespace fulmar {
 
-/// The names of an enum whose values run from 0 to `Count` - 1.
+/// The names of an enum with the values 0 to `Count` - 1.
 template <typename Enum>
 using EnumNames =
     std::array<std::string_view, static_cast<std::size_t>(Enum::Count)>;
--- a/src/core/hash.cpp
+++ b/src/core/hash.cpp
@@ -1,4 +1,4 @@
-/// \file hash.cpp Placement hashes on xxhash.
+/// \file hash.cpp Non-cryptographic hashes with xxHash.
 #include "core/hash.h"
 
 #include <xxhash.h>
--- a/src/core/random.h
+++ b/src/core/random.h
@@ -1,4 +1,4 @@
-/// \file random.h Seeded random numbers for decisions.
+/// \file random.h Seeded pseudo-random numbers.
 #ifndef FULMARSTEP_CORE_RANDOM_H
 #define FULMARSTEP_CORE_RANDOM_H
 
@@ -7,17 +7,17 @@
 
 namespace fulmar {
 
-/// Every source of randomness is seeded, so that a run can be repeated.
+/// Random number generator; always seeded, so that a run can be reproduced.
 using Random = std::mt19937_64;
 
-/// Draws an index below \p Size.
+/// Draws a uniform index below \p Size.
 /// \pre \p Size is above 0.
 inline std::size_t randomIndex(Random &Rng, std::size_t Size) {
-  // A modulo is uneven by less than Size / 2^64, which nobody can notice.
+  // The bias of the modulo is below Size / 2^64, which is negligible.
   return static_cast<std::size_t>(Rng() % Size);
 }
 
-/// Draws a number from 0 up to, not including, 1.
+/// Draws a uniform number in [0, 1).
 inline double randomUnit(Random &Rng) {
   return static_cast<double>(Rng() >> 11) * 0x1.0p-53;
 }
--- a/src/core/strong_id.h
+++ b/src/core/strong_id.h
@@ -1,4 +1,4 @@
-/// \file strong_id.h Integer ids that the compiler keeps apart.
+/// \file strong_id.h Integer ids of distinct types.
 #ifndef FULMARSTEP_CORE_STRONG_ID_H
 #define FULMARSTEP_CORE_STRONG_ID_H
 
@@ -8,16 +8,16 @@
 
 namespace fulmar {
 
-/// An integer that cannot be mixed up with an id of another kind.
+/// An integer id that does not convert to an id with another \p Tag.
 template <typename Tag, typename Int = std::uint64_t> struct StrongId {
-  Int Value = 0; ///< The bare number; 0 is a valid id unless the user says so.
+  Int Value = 0; ///< The number; 0 is valid unless the id type excludes it.
 
   auto operator<=>(const StrongId &) const = default;
 };
 
 } // namespace fulmar
 
-/// Hashes a strong id like its bare number.
+/// Hashes a strong id like its number.
 template <typename Tag, typename Int>
 struct std::hash<fulmar::StrongId<Tag, Int>> {
   std::size_t operator()(const fulmar::StrongId<Tag, Int> &Id) const noexcept {
--- a/src/core/text.h
+++ b/src/core/text.h
@@ -1,4 +1,4 @@
-/// \file text.h Taking texts apart.
+/// \file text.h String splitting.
 #ifndef FULMARSTEP_CORE_TEXT_H
 #define FULMARSTEP_CORE_TEXT_H
 
@@ -8,8 +8,8 @@
 
 namespace fulmar {
 
-/// Splits a list at its commas; spaces around items and empty items are
-/// dropped. The items refer to \p List.
+/// Splits a comma-separated list. Spaces around items and empty items are
+/// dropped. The items are views into \p List.
 inline std::vector<std::string_view> splitCommas(std::string_view List) {
   std::vector<std::string_view> Items;
   while (!List.empty()) {
