--- a/src/kernel.h
+++ b/src/kernel.h
@@ -1,4 +1,4 @@
-/// \file kernel.h The micro-kernel: services that find each other by name.
+/// \file kernel.h Registry in which services look each other up by name.
 #ifndef FULMARSTEP_KERNEL_H
 #define FULMARSTEP_KERNEL_H
 
@@ -10,37 +10,39 @@
 
 namespace fulmar {
 
-/// A part of the program with a life cycle.
+/// A component of the program that is started and stopped.
 class Service {
 public:
   virtual ~Service() = default;
   /// Called once all services are registered, in the order of registration.
   virtual void start() {}
-  /// Called in reverse order at the end of the process.
+  /// Called in reverse order of registration when the kernel stops.
   virtual void stop() {}
 };
 
-/// Owns the services and finds them by name.
+/// Owns the services, starts and stops them, and looks them up by name.
 class Kernel {
 public:
   Kernel() = default;
-  /// Stops what still runs, and destroys the services, the last one first:
-  /// those that came later use the earlier ones.
+  /// Stops the services that still run and destroys all services, in reverse
+  /// order of registration: later services use earlier ones.
   ~Kernel();
   Kernel(const Kernel &) = delete;
   Kernel &operator=(const Kernel &) = delete;
 
-  /// Registers \p Part as \p Name and hands back a reference to it.
+  /// Registers \p Instance as \p Name.
+  /// \return A reference to \p Instance.
   /// \pre No service has that name yet.
-  template <typename T> T &add(std::string_view Name, std::unique_ptr<T> Part) {
-    T &Ref = *Part;
-    insert(Name, std::move(Part));
+  template <typename T>
+  T &add(std::string_view Name, std::unique_ptr<T> Instance) {
+    T &Ref = *Instance;
+    insert(Name, std::move(Instance));
     return Ref;
   }
 
   /// Registers a service that is owned, started and stopped elsewhere, such as
-  /// the timers that a whole process shares.
-  void addShared(std::string_view Name, Service &Part);
+  /// the timer service that all nodes of a process share.
+  void addShared(std::string_view Name, Service &Instance);
 
   /// Finds the service registered as \p Name.
   /// \throws std::logic_error when there is none, or it is of another type.
@@ -53,22 +55,22 @@
 
   /// Starts every service.
   void start();
-  /// Stops every service, the last one started first.
+  /// Stops every started service, in reverse order of start.
   void stop();
 
 private:
   /// One registered service.
   struct Entry {
-    std::string Name;              ///< What others find it by.
-    std::unique_ptr<Service> Part; ///< The service, when owned.
-    Service *Shared = nullptr;     ///< The service, when owned elsewhere.
+    std::string Name;                  ///< Name for look-ups.
+    std::unique_ptr<Service> Instance; ///< The service, if owned by the kernel.
+    Service *Shared = nullptr;         ///< The service, if owned elsewhere.
   };
 
-  void insert(std::string_view Name, std::unique_ptr<Service> Part);
+  void insert(std::string_view Name, std::unique_ptr<Service> Instance);
   Service *lookUp(std::string_view Name) const;
 
   std::vector<Entry> Entries; ///< In the order of registration.
-  std::size_t Started = 0;    ///< How many of them were started.
+  std::size_t Started = 0;    ///< Number of entries that were started.
 };
 
 } // namespace fulmar
--- a/src/loop_service.h
+++ b/src/loop_service.h
@@ -1,4 +1,4 @@
-/// \file loop_service.h The event loop as a service.
+/// \file loop_service.h Service that gives access to the event loop.
 #ifndef FULMARSTEP_LOOP_SERVICE_H
 #define FULMARSTEP_LOOP_SERVICE_H
 
@@ -7,7 +7,7 @@
 
 namespace fulmar {
 
-/// Lets the other services find the loop by name.
+/// Makes the event loop available to the other services of a kernel.
 struct LoopService : Service {
   explicit LoopService(EventLoop &L) : Loop(L) {}
 
--- a/src/node.cpp
+++ b/src/node.cpp
@@ -1,4 +1,4 @@
-/// \file node.cpp A whole node, put together from its services.
+/// \file node.cpp A serving node, composed of its services.
 #include "node.h"
 
 #include "caller_api.h"
@@ -19,11 +19,11 @@
 
 namespace fulmar {
 
-/// Time between two updates of the load that peers hear of.
+/// Interval between updates of the load that the node reports to its peers.
 static constexpr Duration LoadPeriod = std::chrono::milliseconds(500);
 
-static Ledger ledgerOf(const Settings &S, std::uint64_t Incarnation,
-                       std::uint64_t Seed) {
+static Ledger makeLedgerFor(const Settings &S, std::uint64_t Incarnation,
+                            std::uint64_t Seed) {
   Ledger L = makeLedger(S.NodeId, Incarnation, Seed);
   L.Linger = std::chrono::milliseconds(S.LedgerLingerMs);
   L.RetentionMs = S.LedgerRetentionS * 1000;
@@ -33,8 +33,8 @@
 Node::Node(EventLoop &Loop, TimerService &Timers, Settings S)
     : Config(std::move(S)) {
   auto Incarnation = static_cast<std::uint64_t>(EventLoop::wallClock());
-  // Nonces must differ between processes, whatever the settings say: the
-  // incarnation is part of every seed.
+  // Nonces must differ between processes even if the settings have a fixed
+  // seed, so every seed includes the incarnation.
   std::uint64_t Seed = hash64(Config.NodeId + std::to_string(Incarnation),
                               static_cast<std::uint64_t>(Config.Seed));
   Services.add(service::Loop, std::make_unique<LoopService>(Loop));
@@ -53,7 +53,7 @@
                            static_cast<std::size_t>(Config.MaxRequests)));
   Services.add(service::Ledger,
                std::make_unique<LedgerService>(
-                   Services, ledgerOf(Config, Incarnation, Seed + 3)));
+                   Services, makeLedgerFor(Config, Incarnation, Seed + 3)));
   Services.add(service::Rollout,
                std::make_unique<RolloutService>(Services, Config, Seed + 4));
   Services.add(service::Hosts,
@@ -64,7 +64,7 @@
                std::make_unique<DrainService>(Services, Config));
   Services.add(service::Operators,
                std::make_unique<OperatorApi>(Services, Config));
-  // Last: once callers can connect, everything else is there.
+  // Registered last, so that all other services run when callers can connect.
   Services.add(service::Callers,
                std::make_unique<CallerApi>(Services, Config, Seed + 5));
   Services.start();
--- a/src/node.h
+++ b/src/node.h
@@ -1,4 +1,4 @@
-/// \file node.h A whole node, put together from its services.
+/// \file node.h A serving node, composed of its services.
 #ifndef FULMARSTEP_NODE_H
 #define FULMARSTEP_NODE_H
 
@@ -12,26 +12,26 @@
 class RouterService;
 class OperatorApi;
 
-/// A node on a loop that others may share, as the demo does.
+/// A serving node. Several nodes may share one event loop, as in the demo.
 class Node {
 public:
   /// Registers and starts all services.
-  /// \throws Error ListenFailed.
+  /// \throws Error ListenFailed when a port cannot be opened.
   Node(EventLoop &Loop, TimerService &Timers, Settings S);
   ~Node();
   Node(const Node &) = delete;
   Node &operator=(const Node &) = delete;
 
-  /// Begins a graceful stop; the loop is stopped at its end.
+  /// Begins a graceful stop; the event loop is stopped when it is done.
   void drain();
-  /// \return The router, for tests and the demo.
+  /// \return The router service, for tests and the demo.
   RouterService &router() const;
-  /// \return The operators' interface, for the demo.
+  /// \return The operator API, for the demo.
   OperatorApi &operators() const;
 
 private:
-  const Settings Config; ///< Kept here; services refer to it.
-  Kernel Services;       ///< Owns them.
+  const Settings Config; ///< Settings; the services refer to it.
+  Kernel Services;       ///< Owns all services but the timers.
 };
 
 } // namespace fulmar
--- a/src/node_services.h
+++ b/src/node_services.h
@@ -1,4 +1,4 @@
-/// \file node_services.h Names that a node's services find each other by.
+/// \file node_services.h Names under which a node's services are registered.
 #ifndef FULMARSTEP_NODE_SERVICES_H
 #define FULMARSTEP_NODE_SERVICES_H
 
--- a/src/timer.cpp
+++ b/src/timer.cpp
@@ -38,8 +38,8 @@
   assert(To >= Now);
   while (!Queue.empty() && Queue.begin()->first <= To) {
     auto Node = Queue.extract(Queue.begin());
-    // A process that was stopped for a minute must not run a periodic
-    // subscriber sixty times in a row when it wakes: skip to the present.
+    // After a process was paused for a minute, a periodic timer of one second
+    // must not run sixty times in a row: skip the missed periods.
     Now = std::max(Now, Node.key());
     Entry &E = Node.mapped();
     Callback Fn = E.Fn;
--- a/src/timer_base.h
+++ b/src/timer_base.h
@@ -1,4 +1,4 @@
-/// \file timer_base.h The timer service that every part subscribes to.
+/// \file timer_base.h Timer service: one-shot and periodic timers.
 #ifndef FULMARSTEP_TIMER_BASE_H
 #define FULMARSTEP_TIMER_BASE_H
 
@@ -14,20 +14,21 @@
 namespace fulmar {
 
 struct TimerTag {};
-using TimerId = StrongId<TimerTag>; ///< 0 is never given out.
+using TimerId = StrongId<TimerTag>; ///< Id of a timer; 0 is never assigned.
 
-/// Calls subscribers when their time has come. It does not know where time
-/// comes from: the event loop advances it in a node, a test by hand.
+/// Runs callbacks when they are due. Time is supplied from outside: by the
+/// event loop in a node, by calls of advance() in a test.
 class TimerService : public Service {
 public:
   using Callback = std::function<void()>; ///< Run on the loop's thread.
 
-  /// Takes the time from \p Fn from now on. Without it, time stands still
-  /// between two advances: right for a test, but in a loop that slept for a
-  /// second, whatever woke it up would be dated a second back.
+  /// Makes now() return the time of \p Fn. Without a clock, time stands still
+  /// between two calls of advance(). That is right for a test, but after an
+  /// event loop has waited for a second, the event that wakes it would get a
+  /// timestamp one second too early.
   void setClock(std::function<TimePoint()> Fn) { Clock = std::move(Fn); }
 
-  /// \return The present time; never before that of the latest advance.
+  /// \return The current time; never before that of the latest advance().
   TimePoint now() const { return Clock ? std::max(Now, Clock()) : Now; }
 
   /// Calls \p Fn once, \p Delay from now.
@@ -36,32 +37,32 @@
   /// Calls \p Fn every \p Period, first one period from now.
   TimerId every(Duration Period, Callback Fn);
 
-  /// Forgets a subscription; an unknown or ended one is ignored.
+  /// Cancels a timer; the id of an unknown or finished timer is ignored.
   void cancel(TimerId Id);
 
-  /// \return When the next subscriber is due.
+  /// \return When the next timer is due; nothing if there is none.
   std::optional<TimePoint> nextDue() const;
 
-  /// Moves time to \p To and calls all that is due, in order of due time.
-  /// \pre \p To is not before the latest advance.
+  /// Moves time to \p To and runs all timers that are due, by due time.
+  /// \pre \p To is not before the time of the latest call.
   void advance(TimePoint To);
 
 private:
-  /// One subscription.
+  /// A pending timer.
   struct Entry {
-    TimerId Id;      ///< Its name.
-    Duration Period; ///< Zero: once.
-    Callback Fn;     ///< What to call.
+    TimerId Id;      ///< Id of the timer.
+    Duration Period; ///< Period; zero for a one-shot timer.
+    Callback Fn;     ///< Callback.
   };
 
   TimerId insert(TimePoint Due, Duration Period, Callback Fn);
 
-  TimePoint Now{};                       ///< Of the latest advance.
-  std::function<TimePoint()> Clock;      ///< Live readings; may be empty.
-  std::uint64_t LastId = 0;              ///< Latest id given out.
-  std::multimap<TimePoint, Entry> Queue; ///< By due time, then by age.
-  /// Where each subscription stands in the queue, so that ending one of many
-  /// thousands does not search them all.
+  TimePoint Now{};                       ///< Time of the latest advance().
+  std::function<TimePoint()> Clock;      ///< Current time; may be empty.
+  std::uint64_t LastId = 0;              ///< Latest id assigned.
+  std::multimap<TimePoint, Entry> Queue; ///< By due time, then by insertion.
+  /// Position of each timer in the queue, so that cancelling one of many
+  /// thousands does not search the queue.
   std::unordered_map<TimerId, std::multimap<TimePoint, Entry>::iterator> Index;
 };
 
