--- a/src/bundle.cpp
+++ b/src/bundle.cpp
@@ -1,4 +1,4 @@
-/// \file bundle.cpp Reading and checking bundles.
+/// \file bundle.cpp Parsing and validating bundles.
 #include <algorithm>
 #include <set>
 
@@ -10,22 +10,25 @@
 
 namespace fulmar {
 
-/// Most items of one section; bounds what a bad file can make a node hold.
+/// Maximum number of items in one section; bounds the memory that a malformed
+/// file can make a node use.
 static constexpr std::size_t MaxItemsOfSection = 10000;
-/// Most stages of a pipeline.
+/// Maximum number of stages in a pipeline.
 static constexpr std::size_t MaxStages = 16;
 
 static const std::vector<std::string_view> SectionNames = {
     "organisations", "models",    "adapters", "drained_domains",
     "pools",         "pipelines", "shares"};
 
-/// A parsed part with the lines that its errors point to.
+/// A parsed object together with the JSON it was read from, which gives the
+/// line numbers for error messages.
 template <typename Spec> struct Located {
-  Spec Part;        ///< What was read.
-  const Json *From; ///< Where.
+  Spec Part;          ///< The parsed object.
+  const Json *Source; ///< Its JSON object in the bundle source.
 };
 
-/// Everything read from a source, before it is cross-checked.
+/// All objects read from a bundle source, before references between them are
+/// checked.
 struct BundleDraft {
   std::vector<Located<OrganisationSpec>> Organisations;   ///< In file order.
   std::vector<Located<ModelSpec>> Models;                 ///< In file order.
@@ -33,7 +36,7 @@
   std::vector<Located<DrainedDomainSpec>> DrainedDomains; ///< In file order.
   std::vector<Located<PoolSpec>> Pools;                   ///< In file order.
   std::vector<Located<PipelineSpec>> Pipelines;           ///< In file order.
-  ShareSpec Shares;                                       ///< One.
+  ShareSpec Shares; ///< The `shares` object.
 };
 
 static void readStages(const Json &Object, PipelineSpec &Out,
@@ -46,12 +49,12 @@
                             " stages");
   std::set<std::string> Names;
   for (std::size_t I = 0; I < List->Items.size(); ++I) {
-    FieldCheck Inner{Check.Wrong, Check.Path + "/stages/" + std::to_string(I)};
+    FieldCheck Inner{Check.Errors, Check.Path + "/stages/" + std::to_string(I)};
     StageSpec Stage;
     readFields<StageSpec>(List->Items[I], StageTable, Stage, Inner);
     if (!Names.insert(Stage.Name).second)
       Inner.report(List->Items[I].Line, "name",
-                   "\"" + Stage.Name + "\" stands twice in this pipeline");
+                   "\"" + Stage.Name + "\" is used twice in this pipeline");
     Out.Stages.push_back(std::move(Stage));
   }
 }
@@ -80,43 +83,48 @@
     readStages(Object, Out, Check);
 }
 
-/// Names go into keys, labels and log lines, so they are kept plain.
-static bool plainName(const std::string &Name) {
+/// \return Whether \p Name has only letters, digits, `.`, `_` and `-`. Names
+/// become parts of keys, metric labels and log lines.
+static bool isValidName(const std::string &Name) {
   return Name.find_first_not_of("abcdefghijklmnopqrstuvwxyz"
                                 "ABCDEFGHIJKLMNOPQRSTUVWXYZ"
                                 "0123456789._-") == std::string::npos;
 }
 
-/// Reads one section, a list of named parts.
+/// Reads one section: a list of objects that each have a unique name.
 template <typename Spec>
 static void readSection(const Json &Root, std::string_view Section,
-                        std::vector<Located<Spec>> &Out, Diagnostics &Wrong) {
+                        std::vector<Located<Spec>> &Out, Diagnostics &Errors) {
   const Json *List = Root.find(Section);
   if (!List)
     return;
-  FieldCheck Top{Wrong, ""};
+  FieldCheck Top{Errors, ""};
   if (List->Kind != JsonKind::List || List->Items.size() > MaxItemsOfSection)
     return Top.report(List->Line, Section,
                       "expected a list of at most " +
                           std::to_string(MaxItemsOfSection) + " objects");
   std::set<std::string> Names;
   for (const Json &Item : List->Items) {
-    FieldCheck Check{Wrong, std::string(Section) + "/" + Item.text("name")};
+    FieldCheck Check{Errors, std::string(Section) + "/" + Item.text("name")};
     Spec Part;
     readPart(Item, Part, Check);
     if (!Part.Name.empty() && !Names.insert(Part.Name).second)
-      Check.report(Item.Line, "name", "stands twice in this bundle");
-    if (!plainName(Part.Name))
+      Check.report(Item.Line, "name", "duplicate name in this bundle");
+    if (!isValidName(Part.Name))
       Check.report(Item.Line, "name",
                    "only letters, digits, `.`, `_` and `-` are allowed");
     Out.push_back({std::move(Part), &Item});
   }
 }
 
-/// Checks that \p Name is one of \p Parts, and names the nearest if not.
+/// Reports an error if no object in \p Parts is called \p Name, and suggests
+/// the most similar name.
+/// \param Source the JSON object that holds the reference.
+/// \param FieldName its field with the reference.
+/// \param What the kind of object referred to, for the error message.
 template <typename Spec>
 static void checkReference(const std::vector<Located<Spec>> &Parts,
-                           const std::string &Name, const Json *From,
+                           const std::string &Name, const Json *Source,
                            std::string_view FieldName, std::string_view What,
                            FieldCheck &Check) {
   std::vector<std::string_view> Known;
@@ -125,64 +133,64 @@
       return;
     Known.push_back(Part.Part.Name);
   }
-  const Json *Field = From->find(FieldName);
+  const Json *Field = Source->find(FieldName);
   std::string Message = "no " + std::string(What) + " \"" + Name + "\"";
   std::string_view Nearest = nearestName(Name, Known);
   if (!Nearest.empty())
     Message += "; did you mean \"" + std::string(Nearest) + "\"?";
-  Check.report(Field ? Field->Line : From->Line, FieldName, Message);
+  Check.report(Field ? Field->Line : Source->Line, FieldName, Message);
 }
 
 static void checkPipeline(const BundleDraft &Draft,
                           const Located<PipelineSpec> &Pipeline,
-                          Diagnostics &Wrong) {
-  const Json *Stages = Pipeline.From->find("stages");
+                          Diagnostics &Errors) {
+  const Json *Stages = Pipeline.Source->find("stages");
   for (std::size_t I = 0; I < Pipeline.Part.Stages.size(); ++I) {
     const StageSpec &Stage = Pipeline.Part.Stages[I];
-    const Json *From = &Stages->Items[I];
-    FieldCheck Check{Wrong, "pipelines/" + Pipeline.Part.Name + "/stages/" +
-                                std::to_string(I)};
-    checkReference(Draft.Pools, Stage.Pool, From, "pool", "pool", Check);
+    const Json *Source = &Stages->Items[I];
+    FieldCheck Check{Errors, "pipelines/" + Pipeline.Part.Name + "/stages/" +
+                                 std::to_string(I)};
+    checkReference(Draft.Pools, Stage.Pool, Source, "pool", "pool", Check);
     if (!Stage.Adapter.empty())
-      checkReference(Draft.Adapters, Stage.Adapter, From, "adapter", "adapter",
-                     Check);
+      checkReference(Draft.Adapters, Stage.Adapter, Source, "adapter",
+                     "adapter", Check);
     if (Stage.TimeoutMs > Pipeline.Part.DeadlineMs)
-      Check.report(From->Line, "timeout_ms",
+      Check.report(Source->Line, "timeout_ms",
                    std::to_string(Stage.TimeoutMs) +
                        " is above the pipeline's deadline_ms of " +
                        std::to_string(Pipeline.Part.DeadlineMs));
   }
 }
 
-static void crossCheck(const BundleDraft &Draft, Diagnostics &Wrong) {
+static void crossCheck(const BundleDraft &Draft, Diagnostics &Errors) {
   for (const auto &Adapter : Draft.Adapters) {
-    FieldCheck Check{Wrong, "adapters/" + Adapter.Part.Name};
-    checkReference(Draft.Models, Adapter.Part.Model, Adapter.From, "model",
+    FieldCheck Check{Errors, "adapters/" + Adapter.Part.Name};
+    checkReference(Draft.Models, Adapter.Part.Model, Adapter.Source, "model",
                    "model", Check);
   }
   for (const auto &Pool : Draft.Pools) {
-    FieldCheck Check{Wrong, "pools/" + Pool.Part.Name};
+    FieldCheck Check{Errors, "pools/" + Pool.Part.Name};
     if (Pool.Part.Kind == PoolKind::Engine)
-      checkReference(Draft.Models, Pool.Part.Model, Pool.From, "model", "model",
-                     Check);
+      checkReference(Draft.Models, Pool.Part.Model, Pool.Source, "model",
+                     "model", Check);
     if (Pool.Part.StartLimit > Pool.Part.MaxLimit)
-      Check.report(Pool.From->Line, "start_limit",
+      Check.report(Pool.Source->Line, "start_limit",
                    "is above max_limit of " +
                        std::to_string(Pool.Part.MaxLimit));
   }
   for (const auto &Pipeline : Draft.Pipelines)
-    checkPipeline(Draft, Pipeline, Wrong);
+    checkPipeline(Draft, Pipeline, Errors);
   for (const auto &Organisation : Draft.Organisations) {
-    FieldCheck Check{Wrong, "organisations/" + Organisation.Part.Name};
+    FieldCheck Check{Errors, "organisations/" + Organisation.Part.Name};
     for (const std::string &Name : Organisation.Part.Pipelines)
-      checkReference(Draft.Pipelines, Name, Organisation.From, "pipelines",
+      checkReference(Draft.Pipelines, Name, Organisation.Source, "pipelines",
                      "pipeline", Check);
   }
 }
 
-static BundleDraft readDraft(const Json &Root, Diagnostics &Wrong) {
+static BundleDraft readDraft(const Json &Root, Diagnostics &Errors) {
   BundleDraft Draft;
-  FieldCheck Top{Wrong, ""};
+  FieldCheck Top{Errors, ""};
   if (Root.Kind != JsonKind::Object) {
     Top.report(Root.Line, "", "expected an object");
     return Draft;
@@ -192,30 +200,30 @@
         SectionNames.end())
       Top.unknown(Value.Line, Name, SectionNames);
   }
-  readSection(Root, "organisations", Draft.Organisations, Wrong);
-  readSection(Root, "models", Draft.Models, Wrong);
-  readSection(Root, "adapters", Draft.Adapters, Wrong);
-  readSection(Root, "drained_domains", Draft.DrainedDomains, Wrong);
-  readSection(Root, "pools", Draft.Pools, Wrong);
-  readSection(Root, "pipelines", Draft.Pipelines, Wrong);
+  readSection(Root, "organisations", Draft.Organisations, Errors);
+  readSection(Root, "models", Draft.Models, Errors);
+  readSection(Root, "adapters", Draft.Adapters, Errors);
+  readSection(Root, "drained_domains", Draft.DrainedDomains, Errors);
+  readSection(Root, "pools", Draft.Pools, Errors);
+  readSection(Root, "pipelines", Draft.Pipelines, Errors);
   if (const Json *Shares = Root.find("shares")) {
-    FieldCheck Check{Wrong, "shares"};
+    FieldCheck Check{Errors, "shares"};
     readFields<ShareSpec>(*Shares, ShareTable, Draft.Shares, Check);
   }
-  crossCheck(Draft, Wrong);
+  crossCheck(Draft, Errors);
   return Draft;
 }
 
-BundleItems parseBundleSource(std::string_view Text, Diagnostics &Wrong) {
+BundleItems parseBundleSource(std::string_view Text, Diagnostics &Errors) {
   BundleItems Items;
-  std::optional<Json> Root = parseJson(Text, JsonDialect::WithComments, Wrong);
+  std::optional<Json> Root = parseJson(Text, JsonDialect::WithComments, Errors);
   if (!Root)
     return Items;
-  readDraft(*Root, Wrong);
+  readDraft(*Root, Errors);
   std::stable_sort(
-      Wrong.begin(), Wrong.end(),
+      Errors.begin(), Errors.end(),
       [](const Diagnostic &A, const Diagnostic &B) { return A.Line < B.Line; });
-  if (!Wrong.empty())
+  if (!Errors.empty())
     return Items;
   for (const auto &[Section, Value] : Root->Members) {
     if (Section == "shares") {
@@ -230,22 +238,22 @@
   return Items;
 }
 
-/// Puts items back together as the source they came from.
+/// Joins the items into one JSON object of the form of a bundle source.
 static Json joinItems(const BundleItems &Items) {
   Json Root;
   Root.Kind = JsonKind::Object;
-  Diagnostics Wrong;
+  Diagnostics Errors;
   for (const auto &[Key, Item] : Items) {
     std::string Section = Key.substr(0, Key.find('/'));
     std::optional<Json> Value =
-        parseJson(Item.Json, JsonDialect::Strict, Wrong);
+        parseJson(Item.Json, JsonDialect::Strict, Errors);
     if (!Value)
       throw Error(ResultCode::BundleInvalid, "item is not JSON: " + Key);
     if (Section == "shares") {
       Root.set(Section, std::move(*Value));
       continue;
     }
-    // Items are sorted by key, so a section's items follow each other.
+    // Items are sorted by key, so the items of a section are adjacent.
     if (Root.Members.empty() || Root.Members.back().first != Section)
       Root.set(Section, Json());
     Root.Members.back().second.push(std::move(*Value));
@@ -266,10 +274,10 @@
 
 BundlePtr buildBundle(const BundleItems &Items, std::uint64_t Version) {
   Json Root = joinItems(Items);
-  Diagnostics Wrong;
-  BundleDraft Draft = readDraft(Root, Wrong);
-  if (!Wrong.empty())
-    throw Error(ResultCode::BundleInvalid, formatDiagnostics("bundle", Wrong));
+  Diagnostics Errors;
+  BundleDraft Draft = readDraft(Root, Errors);
+  if (!Errors.empty())
+    throw Error(ResultCode::BundleInvalid, formatDiagnostics("bundle", Errors));
   auto Out = std::make_shared<Bundle>();
   Out->Version = Version;
   Out->Organisations = sortedParts(Draft.Organisations);
--- a/src/bundle_base.h
+++ b/src/bundle_base.h
@@ -1,4 +1,5 @@
-/// \file bundle_base.h A bundle: items, their seal, and the parsed parts.
+/// \file bundle_base.h Bundles: items, seal (signed version record), delta and
+/// parsed form.
 #ifndef FULMARSTEP_BUNDLE_BASE_H
 #define FULMARSTEP_BUNDLE_BASE_H
 
@@ -15,29 +16,29 @@
 /// A SHA-256 digest.
 using Digest = std::array<std::uint8_t, 32>;
 
-/// One item of a bundle: an organisation, a pool, a pipeline and so on. Items
-/// are the unit of change, so that one edited organisation travels as one item.
+/// One item of a bundle: an organisation, a pool, a pipeline and so on. Deltas
+/// consist of whole items, so an edit to one organisation is sent as one item.
 struct BundleItem {
   std::string Json; ///< Canonical JSON.
-  Digest Hash = {}; ///< SHA-256 of the key and the JSON.
+  Digest Hash = {}; ///< SHA-256 of key, a NUL byte and JSON.
 };
 
-/// Items by `section/name`, sorted.
+/// Items by key, `section/name`, in key order.
 using BundleItems = std::map<std::string, BundleItem>;
 
-/// Who accepted which content as which version.
+/// The signed record of a bundle version: content hash, signer and signature.
 struct BundleSeal {
-  std::uint64_t Version = 0; ///< Counts up from 1 with each accepted bundle.
-  Digest Root = {};          ///< Hash over the hashes of all items.
-  std::string Signer;        ///< Name of the operator's key.
-  std::string Signature;     ///< Ed25519 over version and root, 64 bytes.
-  WallMs CreatedMs = 0;      ///< When it was signed.
-  std::string Note;          ///< Why, in the operator's words.
+  std::uint64_t Version = 0; ///< From 1, plus 1 for each accepted bundle.
+  Digest Root = {};          ///< SHA-256 over the hashes of all items.
+  std::string Signer;        ///< Name of the operator's signing key.
+  std::string Signature;     ///< Ed25519 over sealStatement(), 64 bytes.
+  WallMs CreatedMs = 0;      ///< Time of signing, ms since 1970.
+  std::string Note;          ///< The operator's reason for the change.
 
   bool operator==(const BundleSeal &) const = default;
 };
 
-/// A bundle as it travels and is kept.
+/// A bundle in the form that is sent between nodes and stored.
 struct SignedBundle {
   BundleSeal Seal;                 ///< Version, content hash, signature.
   BundleItems Items;               ///< Content.
@@ -46,15 +47,16 @@
 
 /// The difference between two bundles.
 struct BundleDelta {
-  std::uint64_t FromVersion = 0;              ///< 0: the whole bundle.
-  Digest FromRoot = {};                       ///< Content it applies to.
-  BundleSeal Seal;                            ///< Of the result.
-  std::map<std::string, std::string> Changed; ///< Key to JSON.
-  std::vector<std::string> Removed;           ///< Keys.
+  std::uint64_t FromVersion = 0; ///< 0: the whole bundle.
+  Digest FromRoot = {};          ///< Root of the bundle that it applies to.
+  BundleSeal Seal;               ///< Seal of the result.
+  std::map<std::string, std::string>
+      Changed;                      ///< New and changed items: JSON by key.
+  std::vector<std::string> Removed; ///< Keys of removed items.
 };
 
-/// A parsed bundle; never changed once made, shared by the requests that began
-/// under it.
+/// A parsed bundle. It is immutable and shared by all requests that started
+/// while it was in force.
 struct Bundle {
   std::uint64_t Version = 0;                     ///< From the seal.
   std::vector<OrganisationSpec> Organisations;   ///< Sorted by name.
@@ -63,7 +65,7 @@
   std::vector<DrainedDomainSpec> DrainedDomains; ///< Sorted by name.
   std::vector<PoolSpec> Pools;                   ///< Sorted by name.
   std::vector<PipelineSpec> Pipelines;           ///< Sorted by name.
-  ShareSpec Shares;                              ///< How capacity is shared.
+  ShareSpec Shares;                              ///< Capacity shares.
 
   /// \return The part called \p Name in a sorted \p List, or nullptr.
   template <typename Spec>
@@ -76,7 +78,7 @@
   }
 };
 
-using BundlePtr = std::shared_ptr<const Bundle>; ///< Shared, read only.
+using BundlePtr = std::shared_ptr<const Bundle>; ///< Shared, immutable.
 
 } // namespace fulmar
 
--- a/src/bundle_cmd.cpp
+++ b/src/bundle_cmd.cpp
@@ -9,9 +9,10 @@
 
 namespace fulmar {
 
-/// Tries of a write whose answer was lost and which did not take effect.
+/// Attempts to write when the response is lost and the write did not take
+/// effect.
 static constexpr int MaxTries = 3;
-/// Earlier seals kept with the bundle.
+/// Maximum number of earlier seals stored with the bundle.
 static constexpr std::size_t MaxHistory = 20;
 
 SignedBundle sealBundle(BundleItems Items, std::uint64_t Version,
@@ -69,7 +70,7 @@
   return {};
 }
 
-/// Puts earlier seals behind the new bundle.
+/// \return \p Next with the seals of \p Before and its predecessors as history.
 static SignedBundle withHistory(const SignedBundle &Next,
                                 const SignedBundle &Before) {
   SignedBundle Out = Next;
@@ -90,7 +91,8 @@
   for (int Try = 0; Try < MaxTries; ++Try) {
     std::uint64_t Index = 0;
     SignedBundle Before = readAccepted(Kv, Index);
-    // Also the way back from a lost answer: what was written is found.
+    // Also reached when the response to an earlier attempt was lost although
+    // its write took effect.
     if (Before.Seal == Next.Seal)
       return accepted(Next);
     if (Before.Seal.Version + 1 != Next.Seal.Version)
--- a/src/bundle_delta.cpp
+++ b/src/bundle_delta.cpp
@@ -1,4 +1,4 @@
-/// \file bundle_delta.cpp Content hashes and differences of bundles.
+/// \file bundle_delta.cpp Content hashes and deltas of bundles.
 #include "bundle_func.h"
 #include "signature_func.h"
 
@@ -18,8 +18,9 @@
 }
 
 Digest rootOf(const BundleItems &Items) {
-  // The key is part of each item's hash, and the map is sorted, so the joined
-  // hashes stand for the whole content; a change hashes one item anew.
+  // Each item's hash covers its key, and the map is sorted, so the concatenated
+  // hashes identify the whole content. After a change only the changed item is
+  // hashed again.
   std::string Joined;
   Joined.reserve(Items.size() * sizeof(Digest));
   for (const auto &[Key, Item] : Items)
@@ -68,8 +69,8 @@
   for (const auto &[Key, Json] : Delta.Changed)
     Out.Items[Key] = makeItem(Key, Json);
   Out.Seal = Delta.Seal;
-  // The signature covers the root, not the delta: a delta that was damaged, or
-  // made from another base, shows here and is refused as a whole.
+  // The signature covers the root, not the delta. A delta that is corrupt or
+  // was made from another base gives another root and is rejected as a whole.
   if (rootOf(Out.Items) != Delta.Seal.Root)
     return std::nullopt;
   return Out;
--- a/src/diagnostic_type.h
+++ b/src/diagnostic_type.h
@@ -1,4 +1,4 @@
-/// \file diagnostic_type.h What is wrong with a file, all of it at once.
+/// \file diagnostic_type.h Errors found in a settings or bundle file.
 #ifndef FULMARSTEP_DIAGNOSTIC_TYPE_H
 #define FULMARSTEP_DIAGNOSTIC_TYPE_H
 
@@ -7,17 +7,18 @@
 
 namespace fulmar {
 
-/// One thing that is wrong with a settings or bundle file.
+/// One error in a settings or bundle file.
 struct Diagnostic {
-  int Line = 0;        ///< Line, from 1; 0 when it has none.
-  std::string Path;    ///< Setting, such as `pipelines/shift/stages/0/pool`.
-  std::string Message; ///< The value and what was expected instead.
+  int Line = 0;        ///< Line number from 1; 0 if unknown.
+  std::string Path;    ///< Path of the field, such as
+                       ///< `pipelines/shift/stages/0/pool`.
+  std::string Message; ///< The invalid value and what was expected.
 };
 
-/// The list that checks append to.
+/// List of errors; every check appends its own.
 using Diagnostics = std::vector<Diagnostic>;
 
-/// Writes the list, a line each, as `FILE:LINE: PATH: MESSAGE`.
+/// Formats each error as a line `FILE:LINE: PATH: MESSAGE`.
 std::string formatDiagnostics(const std::string &File, const Diagnostics &List);
 
 } // namespace fulmar
--- a/src/field.cpp
+++ b/src/field.cpp
@@ -1,4 +1,4 @@
-/// \file field.cpp Checks shared by every table of fields.
+/// \file field.cpp Validation shared by all field tables.
 #include <algorithm>
 #include <cstdio>
 #include <numeric>
@@ -32,7 +32,7 @@
   std::string Full = Path;
   if (!Full.empty() && !Name.empty())
     Full += "/";
-  Wrong.push_back({Line, Full + std::string(Name), std::move(Message)});
+  Errors.push_back({Line, Full + std::string(Name), std::move(Message)});
 }
 
 bool FieldCheck::number(const Json &Value, std::string_view Name, double Min,
@@ -98,7 +98,8 @@
 std::string_view nearestName(std::string_view Name,
                              const std::vector<std::string_view> &Known) {
   std::string_view Best;
-  // Names further apart than a third of their length are not a slip.
+  // A name that differs in more than a third of its length is not taken for a
+  // typing error.
   std::size_t BestDistance = std::max<std::size_t>(2, Name.size() / 3) + 1;
   for (std::string_view Candidate : Known) {
     std::size_t Distance = editDistance(Name, Candidate);
--- a/src/field_base.h
+++ b/src/field_base.h
@@ -1,4 +1,5 @@
-/// \file field_base.h One table of fields that reads, checks and documents.
+/// \file field_base.h Field tables, from which JSON objects are parsed,
+/// validated and documented.
 #ifndef FULMARSTEP_FIELD_BASE_H
 #define FULMARSTEP_FIELD_BASE_H
 
@@ -13,58 +14,60 @@
 
 namespace fulmar {
 
-/// Whether a field may be left out.
+/// Whether a field may be omitted.
 enum class FieldNeed {
-  Optional, ///< Its default counts when it is left out.
-  Required, ///< Leaving it out is an error.
-  Count,    ///< Number of needs.
-  Invalid,  ///< Not a need.
+  Optional, ///< If omitted, the field has its default.
+  Required, ///< Omitting it is an error.
+  Count,    ///< Number of values.
+  Invalid,  ///< Not a valid value.
 };
 
-/// An enum field: how its name is set and read back.
+/// Access to an enum member by the names of its enumerators.
 template <typename T> struct EnumField {
-  bool (*Assign)(T &, std::string_view); ///< False: no such name.
-  std::string_view (*Read)(const T &);   ///< The current name.
-  std::string_view Allowed;              ///< Names, as shown to operators.
+  bool (*Assign)(T &, std::string_view); ///< Sets it; false: unknown name.
+  std::string_view (*Read)(const T &);   ///< Name of the current value.
+  std::string_view Allowed; ///< Valid names, for messages and help.
 };
 
-/// One row of a table of settings: name, type, range, help. The default is
-/// the one in the struct itself, so that it stands in one place.
+/// One row of a field table: name, type, range, help. The default is the
+/// member's initializer in the struct, so that it is defined only once.
 template <typename T> struct Field {
   std::string_view Name; ///< Key in the JSON object.
   std::variant<bool T::*, std::int64_t T::*, double T::*, std::string T::*,
                std::vector<std::string> T::*, EnumField<T>>
-      Member;            ///< Where the value goes; gives its type too.
-  std::string_view Unit; ///< Unit, empty when it has none.
-  double Min = 0;        ///< Lowest number, or fewest bytes or items.
-  double Max = 0;        ///< Highest number, or most bytes or items.
-  FieldNeed Need = FieldNeed::Optional; ///< Whether it may be left out.
-  std::string_view Help;                ///< One sentence for operators.
+      Member;            ///< Member that takes the value; determines its type.
+  std::string_view Unit; ///< Unit; empty if it has none.
+  double Min = 0;        ///< Minimum value, or size in bytes or items.
+  double Max = 0;        ///< Maximum value, or size in bytes or items.
+  FieldNeed Presence = FieldNeed::Optional; ///< Whether it may be omitted.
+  std::string_view Help; ///< Help text for operators, one sentence.
 };
 
-/// Collects problems of one object, with the path to it.
+/// Validates the fields of one object and collects the errors.
 struct FieldCheck {
-  Diagnostics &Wrong; ///< Receives every problem.
-  std::string Path;   ///< Path of the object, empty at the top.
+  Diagnostics &Errors; ///< Errors are appended here.
+  std::string Path;    ///< Path of the object; empty for the root.
 
-  /// Reports a problem with the field \p Name.
+  /// Reports an error in the field \p Name.
   void report(int Line, std::string_view Name, std::string Message);
-  /// Checks a number against its range; whole numbers where \p Whole.
+  /// Checks that a value is a number in its range.
+  /// \param Whole whether it must be an integer.
   bool number(const Json &Value, std::string_view Name, double Min, double Max,
               std::string_view Unit, bool Whole);
-  /// Checks a text against its length in bytes.
+  /// Checks that a value is a string of \p Min to \p Max bytes.
   bool text(const Json &Value, std::string_view Name, double Min, double Max);
-  /// Reports a key that no row knows, with the nearest name.
+  /// Reports a key that is not in the table, and suggests the most similar
+  /// name.
   void unknown(int Line, std::string_view Name,
                const std::vector<std::string_view> &Known);
 };
 
 /// Finds the name in \p Known that is nearest to \p Name by edit distance.
-/// \return Empty when none is near enough to be meant.
+/// \return Empty if none is similar enough for \p Name to be a typing error.
 std::string_view nearestName(std::string_view Name,
                              const std::vector<std::string_view> &Known);
 
-/// Reads one field into \p Out.
+/// Validates one field and stores it in \p Out.
 template <typename T>
 void readField(const Json &Value, const Field<T> &Row, T &Out,
                FieldCheck &Check) {
@@ -97,8 +100,8 @@
   }
 }
 
-/// Reads every field of \p Object, reporting all that is wrong.
-/// \param Others keys that the caller reads itself, such as nested lists.
+/// Parses all fields of \p Object and reports every error.
+/// \param Others keys that the caller parses itself, such as nested lists.
 template <typename T>
 void readFields(const Json &Object, std::span<const Field<T>> Table, T &Out,
                 FieldCheck &Check,
@@ -113,7 +116,7 @@
       readField(*Value, Row, Out, Check);
       continue;
     }
-    if (Row.Need == FieldNeed::Required)
+    if (Row.Presence == FieldNeed::Required)
       Check.report(Object.Line, Row.Name, "is missing");
   }
   for (const auto &[Name, Value] : Object.Members) {
@@ -125,33 +128,33 @@
 /// Formats a number without a trailing fraction.
 std::string formatNumber(double Number);
 
-/// Writes a Markdown table of the rows, defaults read from a fresh T.
+/// Formats the table in Markdown, with the defaults of a value-initialized T.
 template <typename T>
 std::string fieldsMarkdown(std::span<const Field<T>> Table) {
   std::string Page = "| name | unit | default | range | meaning |\n"
                      "|---|---|---|---|---|\n";
-  const T Fresh{};
+  const T Defaults{};
   for (const Field<T> &Row : Table) {
     std::string Default;
     std::string Range = formatNumber(Row.Min) + " to " + formatNumber(Row.Max);
     if (auto *B = std::get_if<bool T::*>(&Row.Member)) {
-      Default = Fresh.**B ? "true" : "false";
+      Default = Defaults.**B ? "true" : "false";
       Range = "true, false";
     } else if (auto *I = std::get_if<std::int64_t T::*>(&Row.Member)) {
-      Default = std::to_string(Fresh.**I);
+      Default = std::to_string(Defaults.**I);
     } else if (auto *D = std::get_if<double T::*>(&Row.Member)) {
-      Default = formatNumber(Fresh.**D);
+      Default = formatNumber(Defaults.**D);
     } else if (auto *S = std::get_if<std::string T::*>(&Row.Member)) {
-      Default = "\"" + Fresh.**S + "\"";
+      Default = "\"" + Defaults.**S + "\"";
       Range += " bytes";
     } else if (auto *E = std::get_if<EnumField<T>>(&Row.Member)) {
-      Default = std::string(E->Read(Fresh));
+      Default = std::string(E->Read(Defaults));
       Range = std::string(E->Allowed);
     } else {
       Default = "[]";
       Range = "list of strings";
     }
-    if (Row.Need == FieldNeed::Required)
+    if (Row.Presence == FieldNeed::Required)
       Default = "required";
     Page += "| `" + std::string(Row.Name) + "` | " + std::string(Row.Unit) +
             " | " + Default + " | " + Range + " | " + std::string(Row.Help) +
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -1,4 +1,4 @@
-/// \file settings.cpp Reading and documenting a node's settings.
+/// \file settings.cpp Parsing and documenting a node's settings.
 #include "settings_func.h"
 
 #include <algorithm>
@@ -39,7 +39,7 @@
   return Address.Host + ":" + std::to_string(Address.Port);
 }
 
-/// Checks one address setting, which the table knows only as a text.
+/// Checks the format of an address setting; the table declares it as a string.
 static void checkAddress(const Json &Root, std::string_view Name,
                          const std::string &Value, FieldCheck &Check) {
   const Json *Node = Root.find(Name);
@@ -49,9 +49,9 @@
                "\"" + Value + "\" is not an address; expected IP:PORT");
 }
 
-/// Checks what depends on more than one field or on a format.
-static void checkTogether(const Json &Root, const Settings &S,
-                          FieldCheck &Check) {
+/// Checks formats, and constraints between several settings.
+static void checkConsistency(const Json &Root, const Settings &S,
+                             FieldCheck &Check) {
   checkAddress(Root, "kv_address", S.KvAddress, Check);
   checkAddress(Root, "host_list_address", S.HostListAddress, Check);
   for (const std::string &Seed : S.Seeds)
@@ -74,26 +74,26 @@
   }
 }
 
-Settings parseSettings(std::string_view Text, Diagnostics &Wrong) {
+Settings parseSettings(std::string_view Text, Diagnostics &Errors) {
   Settings Out;
-  std::optional<Json> Root = parseJson(Text, JsonDialect::WithComments, Wrong);
+  std::optional<Json> Root = parseJson(Text, JsonDialect::WithComments, Errors);
   if (!Root)
     return Out;
-  FieldCheck Check{Wrong, ""};
+  FieldCheck Check{Errors, ""};
   readFields<Settings>(*Root, SettingsTable, Out, Check);
   if (Root->Kind == JsonKind::Object)
-    checkTogether(*Root, Out, Check);
+    checkConsistency(*Root, Out, Check);
   std::stable_sort(
-      Wrong.begin(), Wrong.end(),
+      Errors.begin(), Errors.end(),
       [](const Diagnostic &A, const Diagnostic &B) { return A.Line < B.Line; });
   return Out;
 }
 
 Settings loadSettings(const std::string &Path) {
-  Diagnostics Wrong;
-  Settings Out = parseSettings(readFile(Path), Wrong);
-  if (!Wrong.empty())
-    throw Error(ResultCode::SettingsInvalid, formatDiagnostics(Path, Wrong));
+  Diagnostics Errors;
+  Settings Out = parseSettings(readFile(Path), Errors);
+  if (!Errors.empty())
+    throw Error(ResultCode::SettingsInvalid, formatDiagnostics(Path, Errors));
   return Out;
 }
 
--- a/src/settings_func.h
+++ b/src/settings_func.h
@@ -1,4 +1,4 @@
-/// \file settings_func.h Reading and documenting a node's settings.
+/// \file settings_func.h Parsing and documenting a node's settings.
 #ifndef FULMARSTEP_SETTINGS_FUNC_H
 #define FULMARSTEP_SETTINGS_FUNC_H
 
@@ -10,33 +10,34 @@
 
 namespace fulmar {
 
-/// Reads settings from JSON text, reporting all errors.
-/// \return The settings; use them only when \p Wrong stayed empty.
-Settings parseSettings(std::string_view Text, Diagnostics &Wrong);
+/// Parses settings from JSON with comments and reports all errors.
+/// \return The settings; valid only if no error was added to \p Errors.
+Settings parseSettings(std::string_view Text, Diagnostics &Errors);
 
-/// Reads a settings file.
+/// Reads and parses a settings file.
 /// \throws Error FileUnreadable, or SettingsInvalid with every error.
 Settings loadSettings(const std::string &Path);
 
 /// Writes the reference page docs/SETTINGS.md.
 std::string settingsMarkdown();
 
-/// \return The level called \p Name: debug, info, warning or error.
+/// \return The level called \p Name (debug, info, warning or error), or nothing
+/// when there is none.
 std::optional<LogLevel> logLevelByName(std::string_view Name);
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct HostPort {
-  std::string Host; ///< IP number, without brackets.
+  std::string Host; ///< IP address, without brackets.
   int Port = 0;     ///< 1 to 65535.
 
   auto operator<=>(const HostPort &) const = default;
 };
 
-/// Splits `IP:PORT`.
+/// Parses `IP:PORT`.
 /// \return Nothing when \p Text is not of that form.
 std::optional<HostPort> parseHostPort(std::string_view Text);
 
-/// Writes an address as `IP:PORT`.
+/// Formats an address as `IP:PORT`.
 std::string formatHostPort(const HostPort &Address);
 
 } // namespace fulmar
--- a/src/settings_type.h
+++ b/src/settings_type.h
@@ -8,36 +8,36 @@
 
 namespace fulmar {
 
-/// What a node is told at its start. Units and ranges: table/settings.h.
+/// Settings that a node reads at startup. Units and ranges: table/settings.h.
 struct Settings {
-  std::string NodeId;                    ///< Unique name of this node.
-  std::string FailureDomain;             ///< Where this node runs.
-  std::string Host = "127.0.0.1";        ///< IP number that others reach.
-  std::int64_t CallerPort = 8080;        ///< TCP port for callers.
-  std::int64_t OperatorPort = 8081;      ///< TCP port for operators.
-  std::int64_t PeerPort = 8082;          ///< UDP and TCP port for other nodes.
-  std::string KvAddress;                 ///< Key-value service, IP:PORT.
-  std::string HostListAddress;           ///< Host list, IP:PORT.
-  std::vector<std::string> Seeds;        ///< Peers to try first, IP:PORT.
-  std::vector<std::string> OperatorKeys; ///< NAME:HEX of Ed25519 public keys.
-  std::string OperatorToken;             ///< Bearer token of operators.
-  std::string PeerKey;                   ///< Secret shared by all nodes.
-  std::string PreviousPeerKey;           ///< Still accepted while keys roll.
-  std::int64_t EntryTtlMs = 3000;        ///< How long callers cache addresses.
-  std::int64_t EntryCount = 3;           ///< Addresses in one answer.
-  std::int64_t ProbePeriodMs = 1000;     ///< One probe of a peer in this time.
-  std::int64_t ProbeTimeoutMs = 300;     ///< Until indirect probes are sent.
-  std::int64_t HostListPollMs = 1000;   ///< Between two reads of the host list.
-  std::int64_t LedgerLingerMs = 0;      ///< Claims gathered before a write.
-  std::int64_t LedgerRetentionS = 3600; ///< How long ids are remembered.
-  std::int64_t MaxBodyBytes = 1 << 20;  ///< Largest request body.
-  std::int64_t MaxRequests = 4096;      ///< Requests in progress at once.
-  std::int64_t WatchersPerDomain = 2;   ///< Nodes watching the bundle.
-  std::int64_t UpstreamSubset = 64;     ///< Upstreams used of each pool.
-  std::int64_t DrainLimitMs = 60000;    ///< Longest graceful stop.
-  std::int64_t Strength = 100;       ///< Of its host, per cent of a usual one.
-  std::string LogLevelName = "info"; ///< Lowest level logged.
-  std::int64_t Seed = 0;             ///< Of random choices; 0: by the clock.
+  std::string NodeId;               ///< Unique name of this node.
+  std::string FailureDomain;        ///< Failure domain of this node.
+  std::string Host = "127.0.0.1";   ///< IP address that callers and peers use.
+  std::int64_t CallerPort = 8080;   ///< TCP port for callers.
+  std::int64_t OperatorPort = 8081; ///< TCP port for operators.
+  std::int64_t PeerPort = 8082;     ///< UDP and TCP port for peers.
+  std::string KvAddress;            ///< Key-value service, IP:PORT.
+  std::string HostListAddress;      ///< Host list service, IP:PORT.
+  std::vector<std::string> Seeds;   ///< Peers contacted first, IP:PORT.
+  std::vector<std::string> OperatorKeys; ///< Ed25519 public keys, NAME:HEX.
+  std::string OperatorToken;             ///< Bearer token of the operator API.
+  std::string PeerKey;                   ///< Secret that authenticates peers.
+  std::string PreviousPeerKey;       ///< Still accepted during key rotation.
+  std::int64_t EntryTtlMs = 3000;    ///< Cache lifetime of entry addresses, ms.
+  std::int64_t EntryCount = 3;       ///< Entry addresses in one response.
+  std::int64_t ProbePeriodMs = 1000; ///< Interval between probes of peers, ms.
+  std::int64_t ProbeTimeoutMs = 300; ///< Then indirect probes are sent, ms.
+  std::int64_t HostListPollMs = 1000;   ///< Poll interval of the host list, ms.
+  std::int64_t LedgerLingerMs = 0;      ///< Claims are batched this long, ms.
+  std::int64_t LedgerRetentionS = 3600; ///< Retention of idempotency keys, s.
+  std::int64_t MaxBodyBytes = 1 << 20;  ///< Maximum request body, bytes.
+  std::int64_t MaxRequests = 4096;      ///< Maximum requests in progress.
+  std::int64_t WatchersPerDomain = 2;   ///< Nodes that watch the bundle's key.
+  std::int64_t UpstreamSubset = 64;     ///< Upstreams of each pool in use.
+  std::int64_t DrainLimitMs = 60000;    ///< Timeout of a graceful stop, ms.
+  std::int64_t Strength = 100; ///< Capacity of its host, % of a usual one.
+  std::string LogLevelName = "info"; ///< Lowest level that is logged.
+  std::int64_t Seed = 0;             ///< Random seed; 0: from the clock.
 };
 
 } // namespace fulmar
