--- a/src/log_budget.h
+++ b/src/log_budget.h
@@ -1,4 +1,4 @@
-/// \file log_budget.h How many log lines may be written.
+/// \file log_budget.h Rate limit for log lines (token bucket).
 #ifndef FULMARSTEP_LOG_BUDGET_H
 #define FULMARSTEP_LOG_BUDGET_H
 
@@ -9,28 +9,28 @@
 
 namespace fulmar {
 
-/// Lines that one kind of event may still write. A burst of requests must not
-/// become a burst of lines: at 20 us a line, a thousand of them a second are a
-/// twelfth of the quarter of a core that the smallest nodes have.
+/// Token bucket that limits the log lines of one kind of event. A burst of
+/// requests must not cause a burst of log lines: at 20 us a line, 1000 lines/s
+/// take a twelfth of the quarter of a core that the smallest nodes have.
 struct LogBudget {
-  double PerSecond = 300;    ///< Lines/s in the long run.
-  double Most = 600;         ///< Lines that may come at once.
-  double Left = 600;         ///< Lines that may come now.
-  TimePoint Filled{};        ///< When Left was last brought up to date.
-  std::uint64_t LeftOut = 0; ///< Lines not written since the last report.
+  double PerSecond = 300;    ///< Refill rate, lines/s.
+  double Capacity = 600;     ///< Capacity: lines that may be written at once.
+  double Available = 600;    ///< Lines that may be written now.
+  TimePoint LastRefill{};    ///< Time of the last refill.
+  std::uint64_t LeftOut = 0; ///< Lines dropped since the last report of them.
 };
 
-/// Takes one line.
-/// \return Whether it may be written; if not, it is counted.
+/// Takes a token for one line.
+/// \return Whether the line may be written; if not, it is counted as dropped.
 inline bool logBudgetTake(LogBudget &B, TimePoint Now) {
-  double Seconds = toMs(Now - B.Filled) / 1e3;
-  B.Left = std::min(B.Most, B.Left + Seconds * B.PerSecond);
-  B.Filled = Now;
-  if (B.Left < 1) {
+  double Seconds = toMs(Now - B.LastRefill) / 1e3;
+  B.Available = std::min(B.Capacity, B.Available + Seconds * B.PerSecond);
+  B.LastRefill = Now;
+  if (B.Available < 1) {
     ++B.LeftOut;
     return false;
   }
-  B.Left -= 1;
+  B.Available -= 1;
   return true;
 }
 
--- a/src/log_func.h
+++ b/src/log_func.h
@@ -1,4 +1,4 @@
-/// \file log_func.h One line of key=value pairs for each event.
+/// \file log_func.h Structured logging: one line of key=value pairs per event.
 #ifndef FULMARSTEP_LOG_FUNC_H
 #define FULMARSTEP_LOG_FUNC_H
 
@@ -9,20 +9,20 @@
 
 namespace fulmar {
 
-/// How much an event matters to an operator.
+/// Severity of an event.
 enum class LogLevel {
   Debug,   ///< For developers.
-  Info,    ///< The course of things.
-  Warning, ///< Looked after by the program; worth a look.
-  Error,   ///< Needs an operator.
+  Info,    ///< Normal operation.
+  Warning, ///< Handled by the program, but worth investigating.
+  Error,   ///< Requires action by an operator.
   Count,   ///< Number of levels.
   Invalid, ///< Not a level.
 };
 
 /// One key=value pair of a log line.
 struct LogField {
-  std::string_view Key; ///< A short snake_case name.
-  std::string Value;    ///< Written in quotes where it holds a space.
+  std::string_view Key; ///< Short snake_case name.
+  std::string Value;    ///< Quoted in the line if it contains a space.
 
   LogField(std::string_view K, std::string_view V) : Key(K), Value(V) {}
   LogField(std::string_view K, const char *V) : Key(K), Value(V) {}
@@ -31,7 +31,7 @@
   LogField(std::string_view K, Int V) : Key(K), Value(std::to_string(V)) {}
 };
 
-/// Where log lines go.
+/// Output stream of the log.
 enum class LogTarget {
   StandardError,  ///< For commands, whose results go to standard output.
   StandardOutput, ///< For nodes.
@@ -39,25 +39,25 @@
   Invalid,        ///< Not a target.
 };
 
-/// Sets up logging and turns log files off.
-/// \param Lowest events below this level are dropped.
+/// Initialises logging, without log files.
+/// \param Lowest events below this level are not logged.
 void logInit(LogLevel Lowest, LogTarget Target = LogTarget::StandardError);
 
-/// Writes one event.
-/// \param Event what happened, as a snake_case name that can be searched for.
+/// Logs one event.
+/// \param Event searchable snake_case name of the event.
 void logEvent(LogLevel Level, std::string_view Event,
               std::initializer_list<LogField> Fields);
 
-/// Writes one event of the usual course of things, which is left out first when
-/// there are too many lines. Those left out are counted, and the count is
-/// written.
+/// Logs one event of normal operation. When there are too many lines, these
+/// events are dropped before others; the number of dropped ones is logged.
 void logRoutine(std::string_view Event, std::initializer_list<LogField> Fields);
 
-/// \return Whether events of this level are written, so that what only a
-/// dropped line would need is not worked out.
+/// \return Whether events of this level are logged. Lets a caller skip the work
+/// of computing fields that only a suppressed line would need.
 bool logEnabled(LogLevel Level);
 
-/// Formats the pairs of one event; split off so that a test can read a line.
+/// Formats the line of one event; a function of its own so that a test can
+/// check the line.
 std::string logLine(std::string_view Event,
                     std::initializer_list<LogField> Fields);
 
--- a/src/log_parse.cpp
+++ b/src/log_parse.cpp
@@ -1,4 +1,4 @@
-/// \file log_parse.cpp Reading log lines back.
+/// \file log_parse.cpp Parsing log lines.
 #include "log_parse.h"
 
 #include <algorithm>
@@ -14,8 +14,8 @@
   return {};
 }
 
-/// Takes a quoted value off the begin of \p Rest.
-/// \return False when its end is missing.
+/// Consumes a quoted value at the front of \p Rest.
+/// \return False if the closing quote is missing.
 static bool takeQuoted(std::string_view &Rest, std::string &Value) {
   Rest.remove_prefix(1);
   while (!Rest.empty() && Rest.front() != '"') {
@@ -30,7 +30,8 @@
   return true;
 }
 
-/// Takes one pair off the begin of \p Rest.
+/// Consumes one key=value pair at the front of \p Rest.
+/// \return False if there is no valid pair.
 static bool takePair(std::string_view &Rest, LogPair &Pair) {
   std::size_t Equal = Rest.find('=');
   if (Equal == std::string_view::npos || Equal == 0 ||
@@ -69,13 +70,13 @@
   return Record;
 }
 
-/// \return The node that wrote a line: the last word before it.
+/// \return The node that wrote a line: the last word of its prefix.
 static std::string nodeOf(const LogRecord &Record) {
   return Record.Source.substr(Record.Source.find_last_of(' ') + 1);
 }
 
-/// \return Whether \p Record tells of the configuration or the upstreams that
-/// the request's own lines name.
+/// \return Whether \p Record is about a configuration version or an upstream
+/// that the lines of the request name, on a node that wrote such a line.
 static bool isContext(const LogRecord &Record,
                       const std::set<std::string> &Nodes,
                       const std::set<std::string> &Versions,
--- a/src/log_parse.h
+++ b/src/log_parse.h
@@ -1,4 +1,4 @@
-/// \file log_parse.h Reading log lines back.
+/// \file log_parse.h Parsing log lines.
 #ifndef FULMARSTEP_LOG_PARSE_H
 #define FULMARSTEP_LOG_PARSE_H
 
@@ -9,36 +9,37 @@
 
 namespace fulmar {
 
-/// One key and its value.
+/// A key and its value.
 struct LogPair {
-  std::string Key;   ///< As written.
-  std::string Value; ///< Without its quotes.
+  std::string Key;   ///< Key, as in the line.
+  std::string Value; ///< Value, without quotes.
 };
 
-/// One line of a log.
+/// A parsed log line.
 struct LogRecord {
-  std::string Source;         ///< What stands before the line, such as a node.
-  std::string Time;           ///< As written; sorts as text.
-  std::string Text;           ///< The line from its event on.
-  std::vector<LogPair> Pairs; ///< All of them, in order.
+  std::string Source;         ///< Prefix of the line, such as a node's name.
+  std::string Time;           ///< Timestamp as written; sorts as a string.
+  std::string Text;           ///< Rest of the line, from `event=` on.
+  std::vector<LogPair> Pairs; ///< All pairs, in the order of the line.
 
-  /// \return The value of \p Key, or empty.
+  /// \return The value of \p Key; empty if there is none.
   std::string value(std::string_view Key) const;
 };
 
-/// Reads one line.
-/// \return Nothing when it is not a line of ours.
+/// Parses one line.
+/// \return Nothing if it is not in this program's log format.
 std::optional<LogRecord> parseLogLine(std::string_view Line);
 
-/// What led to the end of one request.
+/// Log lines that explain the result of one request.
 struct Explanation {
-  std::vector<LogRecord> Own;     ///< Lines of the request, in order.
-  std::vector<LogRecord> Context; ///< Its configuration and upstreams, as its
-                                  ///< node saw them.
-  std::vector<int> Unreadable;    ///< Numbers of lines that are not ours.
+  std::vector<LogRecord> Own;     ///< Lines with the request's id, by time.
+  std::vector<LogRecord> Context; ///< Lines of its nodes about its
+                                  ///< configuration and upstreams, by time.
+  std::vector<int> Unreadable; ///< Numbers, from 1, of lines in another format.
 };
 
-/// Collects what the lines of all nodes say about the request \p Id.
+/// Collects the log lines that concern the request \p Id.
+/// \param Lines log lines of all nodes, in any order.
 Explanation explainRequest(const std::vector<std::string> &Lines,
                            const std::string &Id);
 
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -1,4 +1,4 @@
-/// \file metrics.cpp Counting requests and writing the counts.
+/// \file metrics.cpp Request metrics and their output.
 #include "metrics_func.h"
 
 #include "field_base.h"
@@ -10,17 +10,19 @@
 
 static const std::string OtherOrganisations = "(other)";
 
-/// The label of an organisation, from a bounded set.
-static std::string labelOf(const Metrics &M, const RequestReport &Report) {
-  // Refused names come from the caller, not from the bundle.
+/// \return The label value for the organisation of \p Report. The number of
+/// values is bounded.
+static std::string organisationLabel(const Metrics &M,
+                                     const RequestReport &Report) {
+  // In these cases the name comes from the caller and may not be in the bundle.
   if (Report.Code == ResultCode::NotAllowed ||
       Report.Code == ResultCode::UnknownPipeline || Report.Organisation.empty())
     return OtherOrganisations;
-  bool Known = M.Classes.count({Report.Organisation, Report.Class}) > 0;
-  bool Room =
+  bool HasLabel = M.Classes.count({Report.Organisation, Report.Class}) > 0;
+  bool BelowLimit =
       M.Classes.size() <
       MaxLabelledOrganisations * static_cast<std::size_t>(PipelineClass::Count);
-  return Known || Room ? Report.Organisation : OtherOrganisations;
+  return HasLabel || BelowLimit ? Report.Organisation : OtherOrganisations;
 }
 
 static void addCosts(Metrics &M, const std::string &Organisation,
@@ -36,7 +38,7 @@
 
 void metricsAdd(Metrics &M, const RequestReport &Report) {
   ++M.Codes[Report.Code];
-  std::string Organisation = labelOf(M, Report);
+  std::string Organisation = organisationLabel(M, Report);
   ClassMetrics &Class = M.Classes[{Organisation, Report.Class}];
   ++Class.Requests;
   Class.OnTime += Report.OnTime ? 1 : 0;
@@ -57,14 +59,14 @@
          std::string(nameIn(PipelineClassNames, Key.second)) + "\"";
 }
 
-/// Writes one histogram of each organisation and class.
-static void writeFamily(std::string &Out, const Metrics &M,
-                        std::string_view Name,
-                        Histogram ClassMetrics::*Member) {
+/// Writes one histogram metric, with a series per organisation and class.
+static void writeClassHistograms(std::string &Out, const Metrics &M,
+                                 std::string_view Name,
+                                 Histogram ClassMetrics::*Member) {
   writeType(Out, Name, "histogram");
   for (const auto &[Key, Class] : M.Classes) {
-    // Most organisations have no tokens in most classes; at 300 of them, empty
-    // histograms would be most of the page.
+    // Most organisations have no tokens in most classes. With 300
+    // organisations, empty histograms would make up most of the output.
     if ((Class.*Member).count() == 0)
       continue;
     writeHistogram(Out, Name, labels(Key), Class.*Member);
@@ -94,10 +96,13 @@
   for (const auto &[Key, Class] : M.Classes)
     Out += "fulmarstep_on_time_total{" + labels(Key) + "} " +
            std::to_string(Class.OnTime) + "\n";
-  writeFamily(Out, M, "fulmarstep_latency_ms", &ClassMetrics::Latency);
-  writeFamily(Out, M, "fulmarstep_queueing_ms", &ClassMetrics::Queueing);
-  writeFamily(Out, M, "fulmarstep_first_token_ms", &ClassMetrics::FirstToken);
-  writeFamily(Out, M, "fulmarstep_token_gap_ms", &ClassMetrics::TokenGap);
+  writeClassHistograms(Out, M, "fulmarstep_latency_ms", &ClassMetrics::Latency);
+  writeClassHistograms(Out, M, "fulmarstep_queueing_ms",
+                       &ClassMetrics::Queueing);
+  writeClassHistograms(Out, M, "fulmarstep_first_token_ms",
+                       &ClassMetrics::FirstToken);
+  writeClassHistograms(Out, M, "fulmarstep_token_gap_ms",
+                       &ClassMetrics::TokenGap);
   writeCosts(Out, M, "fulmarstep_stage_busy_ms_total",
              [](const StageCost &C) { return C.BusyMs; });
   writeCosts(Out, M, "fulmarstep_stage_wasted_ms_total",
--- a/src/metrics_base.h
+++ b/src/metrics_base.h
@@ -1,4 +1,4 @@
-/// \file metrics_base.h What is counted for operators.
+/// \file metrics_base.h Request metrics for operators.
 #ifndef FULMARSTEP_METRICS_BASE_H
 #define FULMARSTEP_METRICS_BASE_H
 
@@ -10,41 +10,41 @@
 
 namespace fulmar {
 
-/// Histograms of one organisation and class.
+/// Metrics of the requests of one organisation and class.
 struct ClassMetrics {
-  Histogram Latency{latencyEdgesMs()};    ///< Whole requests, ms.
-  Histogram Queueing{latencyEdgesMs()};   ///< Waiting in all stages, ms.
-  Histogram FirstToken{latencyEdgesMs()}; ///< To the first token, ms.
-  Histogram TokenGap{latencyEdgesMs()};   ///< Mean between tokens, ms.
-  std::uint64_t Requests = 0;             ///< Ended.
-  std::uint64_t OnTime = 0;               ///< Complete within their deadline.
+  Histogram Latency{latencyEdgesMs()};  ///< Total latency of a request, ms.
+  Histogram Queueing{latencyEdgesMs()}; ///< Queueing time over all stages, ms.
+  Histogram FirstToken{latencyEdgesMs()}; ///< Time to first token, ms.
+  Histogram TokenGap{latencyEdgesMs()};   ///< Mean time between tokens, ms.
+  std::uint64_t Requests = 0;             ///< Ended requests.
+  std::uint64_t OnTime = 0; ///< Requests complete by their deadline.
 };
 
-/// What one organisation's requests cost in one stage.
+/// Costs of the requests of one organisation in one stage.
 struct StageCost {
-  double BusyMs = 0;        ///< Of attempts that counted.
-  double WastedMs = 0;      ///< Of retries and hedges that did not.
-  std::uint64_t Tokens = 0; ///< Generated.
+  double BusyMs = 0;        ///< Busy time of attempts that were used, ms.
+  double WastedMs = 0;      ///< Busy time of unused retries and hedges, ms.
+  std::uint64_t Tokens = 0; ///< Generated tokens.
   std::uint64_t Calls = 0;  ///< Attempts.
 };
 
-/// Names an organisation and a class.
+/// Organisation and class.
 using ClassKey = std::pair<std::string, PipelineClass>;
 
-/// Names an organisation, a pipeline and a stage.
+/// Organisation, pipeline and stage.
 struct CostKey {
-  std::string Organisation; ///< Who pays.
-  std::string Pipeline;     ///< Which pipeline.
-  std::string Stage;        ///< Which stage.
+  std::string Organisation; ///< Organisation that sent the requests.
+  std::string Pipeline;     ///< Name of the pipeline.
+  std::string Stage;        ///< Name of the stage.
 
   auto operator<=>(const CostKey &) const = default;
 };
 
-/// Everything that is counted about requests.
+/// All request metrics of a node.
 struct Metrics {
   std::map<ResultCode, std::uint64_t> Codes; ///< Ended requests by code.
   std::map<ClassKey, ClassMetrics> Classes;  ///< By organisation and class.
-  std::map<CostKey, StageCost> Costs;        ///< By organisation and stage.
+  std::map<CostKey, StageCost> Costs; ///< By organisation, pipeline, stage.
 };
 
 } // namespace fulmar
--- a/src/metrics_func.h
+++ b/src/metrics_func.h
@@ -1,4 +1,4 @@
-/// \file metrics_func.h Counting requests and writing the counts.
+/// \file metrics_func.h Request metrics and their output.
 #ifndef FULMARSTEP_METRICS_FUNC_H
 #define FULMARSTEP_METRICS_FUNC_H
 
@@ -6,21 +6,21 @@
 
 namespace fulmar {
 
-/// Organisations that have labels of their own; others are counted together,
-/// or names made up by callers could fill the memory.
+/// Maximum number of organisations with label values of their own. Others share
+/// one, so that names invented by callers cannot fill the memory.
 inline constexpr std::size_t MaxLabelledOrganisations = 400;
 
-/// Counts one ended request.
+/// Adds one ended request to the metrics.
 void metricsAdd(Metrics &M, const RequestReport &Report);
 
-/// One line of a gauge or counter without labels.
+/// A gauge or counter without labels.
 struct PlainMetric {
-  std::string_view Name; ///< Full name.
-  std::string_view Type; ///< counter or gauge.
-  double Value = 0;      ///< Its value.
+  std::string_view Name; ///< Full name of the metric.
+  std::string_view Type; ///< `counter` or `gauge`.
+  double Value = 0;      ///< Current value.
 };
 
-/// Writes the Prometheus text format.
+/// Formats all metrics in the Prometheus text format.
 std::string metricsText(const Metrics &M,
                         const std::vector<PlainMetric> &Others);
 
--- a/src/metrics_text.h
+++ b/src/metrics_text.h
@@ -11,15 +11,15 @@
 
 namespace fulmar {
 
-/// Writes the line that gives a metric its type.
+/// Appends the `# TYPE` line of a metric to \p Out.
 void writeType(std::string &Out, std::string_view Name, std::string_view Type);
 
-/// Writes one histogram.
+/// Appends the samples of one histogram to \p Out.
 /// \param Labels as `name="value"`, separated by commas; may be empty.
 void writeHistogram(std::string &Out, std::string_view Name,
                     const std::string &Labels, const Histogram &H);
 
-/// Writes gauges and counters without labels.
+/// Appends gauges and counters without labels to \p Out.
 void writePlain(std::string &Out, const std::vector<PlainMetric> &Metrics);
 
 } // namespace fulmar
