--- a/src/result.cpp
+++ b/src/result.cpp
@@ -36,13 +36,15 @@
       "test keeps both the\nsame. The thousands give the family, and the "
       "family alone tells a caller what it may\nconclude:\n\n"
       "| family | numbers | meaning |\n|---|---|---|\n"
-      "| complete | 1000 | it ran, and its whole answer is known to be done |\n"
+      "| complete | 1000 | the request ran, and its complete response is known "
+      "|\n"
       "| not run | 2000 | no byte of any stage can have reached an upstream |\n"
       "| failed | 3000 | some idempotent stages ran; no non-idempotent stage "
       "can have run: repeating is safe |\n"
       "| unknown | 4000 | a non-idempotent stage may have run: repeat only "
       "with the same Idempotency-Key |\n"
-      "| tool | 5000 | a command, its files or the operators' interface |\n\n"
+      "| tool | 5000 | an error of a command, of its files or of the operator "
+      "API |\n\n"
       "| number | name | HTTP | retry after (ms) | meaning |\n"
       "|---|---|---|---|---|\n";
   for (const ResultInfo &Row : Table) {
--- a/src/result_func.h
+++ b/src/result_func.h
@@ -8,20 +8,20 @@
 
 namespace fulmar {
 
-/// \return The whole table, in the order of its numbers.
+/// \return The whole table, in ascending order of numbers.
 std::span<const ResultInfo> resultTable();
 
 /// Looks up the row of \p Code.
 /// \pre \p Code is in the table.
 const ResultInfo &resultInfo(ResultCode Code);
 
-/// \return The family that \p Code belongs to.
+/// \return The family of \p Code.
 ResultFamily resultFamily(ResultCode Code);
 
-/// \return The bare number of \p Code.
+/// \return The number of \p Code.
 inline int resultNumber(ResultCode Code) { return static_cast<int>(Code); }
 
-/// Writes the table as the Markdown page docs/RESULT_CODES.md.
+/// \return The table as the Markdown page docs/RESULT_CODES.md.
 std::string resultTableMarkdown();
 
 } // namespace fulmar
