--- a/tests/pch.h
+++ b/tests/pch.h
@@ -1,4 +1,4 @@
-// Headers that every test file takes long to compile.
+// Precompiled headers: slow to compile and included by every test file.
 #include <catch2/catch.hpp>
 
 #include <catch2/trompeloeil.hpp>
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -1,4 +1,6 @@
-// Small parts: kernel, timers, queue, limit, choice, messages, demand, drain.
+// Unit tests of small components: kernel, timers, logging, fair queue,
+// concurrency limit, upstream selection, subsets, estimates, peer messages,
+// demand, drain, event streams, JSON strings, metrics.
 #include "core/hash.h"
 #include "datagram.h"
 #include "demand_func.h"
@@ -30,7 +32,7 @@
   void stop() override { Log->push_back("stop " + Name); }
 };
 
-SCENARIO("services find each other, start in order and stop in reverse") {
+SCENARIO("services are found by name, start in order and stop in reverse") {
   std::vector<std::string> Log;
   {
     Kernel K;
@@ -46,29 +48,29 @@
         std::vector<std::string>{"start a", "start b", "stop b", "stop a"});
 }
 
-SCENARIO("timers run in order, and not in a burst after a pause") {
+SCENARIO("timers run in due order, without a burst after a pause") {
   TimerService T;
   std::string Log;
   T.after(20ms, [&] { Log += "b"; });
   T.after(10ms, [&] { Log += "a"; });
-  TimerId Gone = T.after(15ms, [&] { Log += "x"; });
-  T.cancel(Gone);
-  T.cancel(Gone);
+  TimerId Cancelled = T.after(15ms, [&] { Log += "x"; });
+  T.cancel(Cancelled);
+  T.cancel(Cancelled);
   TimerId Every = T.every(30ms, [&] { Log += "e"; });
   T.advance(TimePoint(40ms));
   CHECK(Log == "abe");
-  // The process was stopped for a minute: 2,000 periods went by.
+  // The process was paused for a minute: 2,000 periods passed.
   T.advance(TimePoint(60s));
   CHECK(Log.size() < 7);
   T.cancel(Every);
   CHECK_FALSE(T.nextDue());
 }
 
-SCENARIO("what wakes a loop is dated when it happens") {
-  // Symptom: the history of a fault run says that a request ran before it was
-  // sent. Sequence: the loop sleeps for a second, a message wakes it, its
-  // handler asks for the time. Cause: handing out the time of the last advance,
-  // which was before the sleep.
+SCENARIO("an event that wakes the loop gets the current time") {
+  // Guards against timestamps that are too early: in the history of a fault
+  // injection run, a request ran before it was sent. The loop waits for a
+  // second until a message wakes it, and the message's handler reads the time.
+  // now() returned the time of the last advance(), which was before the wait.
   TimerService T;
   TimePoint Clock(1s);
   T.setClock([&] { return Clock; });
@@ -79,17 +81,17 @@
   CHECK(T.nextDue() == TimePoint(2010ms));
 }
 
-SCENARIO("log lines can be split at spaces") {
+SCENARIO("log lines quote values that contain spaces or quotes") {
   CHECK(logLine("e", {{"a", 1}, {"b", "x y"}, {"c", "q\"z"}, {"d", ""}}) ==
         "event=e a=1 b=\"x y\" c=\"q\\\"z\" d=\"\"");
 }
 
-static QueuedCall call(std::uint64_t Serial, std::uint32_t Who,
+static QueuedCall call(std::uint64_t Serial, std::uint32_t Organisation,
                        PipelineClass Class = PipelineClass::Interactive,
                        OrganisationGroup Group = OrganisationGroup::Established,
                        double Weight = 1) {
   return {RequestSerial{Serial},
-          OrganisationId{Who},
+          OrganisationId{Organisation},
           Group,
           Class,
           Weight,
@@ -98,7 +100,7 @@
           10};
 }
 
-SCENARIO("a queue is shared fairly") {
+SCENARIO("a fair queue divides capacity by weight, class and group") {
   FairQueue Q;
   Q.MaxCalls = 10000;
   std::uint64_t Serial = 0;
@@ -108,14 +110,16 @@
       ++Out[queuePop(Q)->Organisation.Value];
     return Out;
   };
-  GIVEN("one with a hundred times the calls of another") {
+  GIVEN("an organisation with a hundred times the calls of another") {
     for (int I = 0; I < 1000; ++I)
       queuePush(Q, call(++Serial, 1));
     for (int I = 0; I < 10; ++I)
       queuePush(Q, call(++Serial, 2));
-    THEN("the other is served at once") { CHECK(Served(20)[2] == 10); }
+    THEN("the calls of the other are not delayed by the backlog") {
+      CHECK(Served(20)[2] == 10);
+    }
   }
-  GIVEN("weights of three to one") {
+  GIVEN("two organisations with weights of three to one") {
     for (int I = 0; I < 400; ++I) {
       queuePush(Q, call(++Serial, 1, PipelineClass::Batch,
                         OrganisationGroup::Established, 3));
@@ -123,23 +127,23 @@
     }
     THEN("they are served three to one") { CHECK(Served(400)[1] == 300); }
   }
-  GIVEN("interactive and batch calls without end") {
+  GIVEN("a backlog of interactive and of batch calls") {
     for (int I = 0; I < 500; ++I) {
       queuePush(Q, call(++Serial, 1));
       queuePush(Q, call(++Serial, 2, PipelineClass::Batch));
     }
-    THEN("batch keeps its share, and interactive has the rest") {
+    THEN("batch gets its minimum share, and interactive gets the rest") {
       CHECK(Served(100)[2] == 20);
     }
   }
-  GIVEN("fifty new organisations beside an old one") {
+  GIVEN("fifty organisations of group New and an established one") {
     for (int I = 0; I < 100; ++I) {
       queuePush(Q, call(++Serial, 1, PipelineClass::Batch));
       for (std::uint32_t N = 0; N < 50; ++N)
         queuePush(Q, call(++Serial, 100 + N, PipelineClass::Interactive,
                           OrganisationGroup::New));
     }
-    THEN("together they get what is set aside for them") {
+    THEN("the new ones together get the share reserved for their group") {
       CHECK(Served(100)[1] == 70);
     }
   }
@@ -147,62 +151,61 @@
     Q.MaxCalls = 10;
     for (int I = 0; I < 10; ++I)
       queuePush(Q, call(++Serial, 1));
-    THEN("whoever has too much gives way, not whoever comes last") {
-      auto Gone = queuePush(Q, call(++Serial, 2));
-      REQUIRE(Gone);
-      CHECK(*Gone == RequestSerial{10});
+    THEN("the organisation furthest above its share loses a call, not the "
+         "newest arrival") {
+      auto Evicted = queuePush(Q, call(++Serial, 2));
+      REQUIRE(Evicted);
+      CHECK(*Evicted == RequestSerial{10});
       CHECK(queueSize(Q) == 10);
     }
   }
-  GIVEN("one that was idle while another was served") {
+  GIVEN("an organisation that was idle while another was served") {
     for (int I = 0; I < 300; ++I)
       queuePush(Q, call(++Serial, 1));
     Served(200);
     for (int I = 0; I < 100; ++I)
       queuePush(Q, call(++Serial, 2));
-    THEN("it does not catch up on the time it slept") {
-      CHECK(Served(100)[1] >= 49);
-    }
+    THEN("it gets no credit for the idle time") { CHECK(Served(100)[1] >= 49); }
   }
 }
 
-TEST_CASE("a queue's books balance whatever is put in and taken out "
+TEST_CASE("size, bytes and backlog of a fair queue stay consistent "
           "(property)") {
-  CHECK(rc::check("books", [](std::uint64_t Seed) {
+  CHECK(rc::check("fair queue counters", [](std::uint64_t Seed) {
     Random Rng(Seed);
     FairQueue Q;
     Q.MaxCalls = 40;
-    std::set<std::uint64_t> Inside;
+    std::set<std::uint64_t> Queued;
     std::uint64_t Serial = 0;
     for (int I = 0; I < 500; ++I) {
-      std::size_t What = randomIndex(Rng, 4);
-      if (What < 2) {
+      std::size_t Action = randomIndex(Rng, 4);
+      if (Action < 2) {
         QueuedCall C =
             call(++Serial, static_cast<std::uint32_t>(randomIndex(Rng, 5)),
                  static_cast<PipelineClass>(randomIndex(Rng, 2)),
                  static_cast<OrganisationGroup>(randomIndex(Rng, 2)));
         C.Cost = 0.1 + randomUnit(Rng);
-        Inside.insert(Serial);
-        if (auto Gone = queuePush(Q, C))
-          RC_ASSERT(Inside.erase(Gone->Value) == 1u);
-      } else if (What == 2) {
+        Queued.insert(Serial);
+        if (auto Evicted = queuePush(Q, C))
+          RC_ASSERT(Queued.erase(Evicted->Value) == 1u);
+      } else if (Action == 2) {
         auto C = queuePop(Q);
-        RC_ASSERT(C.has_value() == !Inside.empty());
+        RC_ASSERT(C.has_value() == !Queued.empty());
         if (C)
-          RC_ASSERT(Inside.erase(C->Request.Value) == 1u);
-      } else if (!Inside.empty()) {
-        std::uint64_t Any = *Inside.begin();
+          RC_ASSERT(Queued.erase(C->Request.Value) == 1u);
+      } else if (!Queued.empty()) {
+        std::uint64_t Any = *Queued.begin();
         RC_ASSERT(queueRemove(Q, RequestSerial{Any}));
-        Inside.erase(Any);
+        Queued.erase(Any);
       }
-      RC_ASSERT(queueSize(Q) == Inside.size());
+      RC_ASSERT(queueSize(Q) == Queued.size());
       RC_ASSERT(Q.Backlog >= -1e-6);
-      RC_ASSERT(Q.Bytes == Inside.size() * 10);
+      RC_ASSERT(Q.Bytes == Queued.size() * 10);
     }
   }));
 }
 
-SCENARIO("a limit follows latency") {
+SCENARIO("a concurrency limit follows latency") {
   ConcurrencyLimit L;
   TimePoint Now(1s);
   for (int I = 0; I < 200; ++I)
@@ -211,7 +214,7 @@
   double High = L.Limit;
   for (int I = 0; I < 50; ++I)
     limitOnSuccess(L, 3.0, 2.0, 16, 100ms, Now += 1ms);
-  THEN("one crowded moment shrinks it once") {
+  THEN("slow responses within one latency reduce it once") {
     CHECK(L.Limit == Approx(High * 0.9));
   }
   for (int I = 0; I < 500; ++I)
@@ -235,18 +238,18 @@
   RouterPolicy Policy;
   Random Rng(1);
   TimePoint Now(1s);
-  GIVEN("five of six that fail on and on") {
+  GIVEN("five of six upstreams that fail every call") {
     for (int Round = 0; Round < 10; ++Round)
       for (int I = 0; I < 5; ++I)
         upstreamFailed(P, P.Upstreams[static_cast<std::size_t>(I)], Policy,
                        Now);
-    THEN("half of the pool at most is left out") {
+    THEN("at most half of the pool is ejected") {
       int Out = 0;
       for (const Upstream &U : P.Upstreams)
         Out += !upstreamEligible(U, Policy, Now);
       CHECK(Out == 3);
     }
-    THEN("they come back later, with one call at a time") {
+    THEN("they are readmitted later, with one call at a time") {
       Now += 2s;
       CHECK(upstreamEligible(P.Upstreams[0], Policy, Now));
       CHECK(P.Upstreams[0].Limit.Limit == 1);
@@ -254,13 +257,13 @@
       CHECK_FALSE(upstreamEligible(P.Upstreams[0], Policy, Now + 1s));
     }
   }
-  GIVEN("one that is ten times slower than the rest") {
+  GIVEN("an upstream that is ten times slower than the rest") {
     for (int I = 0; I < 40; ++I)
       for (std::size_t U = 0; U < 6; ++U)
         upstreamSucceeded(P.Upstreams[U], U == 2 ? 100ms : 10ms, 10ms, Policy,
                           Now);
     ejectSlow(P, Policy, Now);
-    THEN("it is left out") {
+    THEN("it is ejected") {
       CHECK_FALSE(upstreamEligible(P.Upstreams[2], Policy, Now));
       CHECK(upstreamEligible(P.Upstreams[1], Policy, Now));
     }
@@ -268,19 +271,20 @@
   GIVEN("calls with the same prefix") {
     ChoiceHints Hints{12345, nullptr};
     auto First = chooseUpstream(P, Policy, Hints, Rng, Now);
-    THEN("they go to the same upstream, until it is crowded") {
+    THEN("they go to the same upstream until it is overloaded") {
       CHECK(chooseUpstream(P, Policy, Hints, Rng, Now) == First);
       P.Upstreams[*First].InFlight = 3;
       CHECK(chooseUpstream(P, Policy, Hints, Rng, Now) != First);
     }
   }
-  GIVEN("a leaving one and an unlisted one with a call left") {
+  GIVEN("a leaving upstream, and an unlisted one with a call in flight") {
     P.Upstreams[0].InFlight = 1;
     std::uint32_t LastId = 6;
     std::vector<UpstreamSpec> Listed = {{"h:2", "p", "fd1", true},
                                         {"h:3", "p", "fd2", false}};
     updateUpstreams(P, Listed, "fd0", LastId);
-    THEN("only the third is chosen, and the first is kept until it ends") {
+    THEN("only the third is chosen, and the unlisted one is kept until its "
+         "call ends") {
       CHECK(P.Upstreams.size() == 3);
       for (int I = 0; I < 10; ++I)
         CHECK(P.Upstreams[*chooseUpstream(P, Policy, {}, Rng, Now)].Address ==
@@ -289,26 +293,26 @@
   }
 }
 
-SCENARIO("each node uses a subset, and the subsets are even") {
+SCENARIO("each node uses a subset of the upstreams, evenly distributed") {
   std::vector<UpstreamSpec> Listed;
   for (int I = 0; I < 400; ++I)
     Listed.push_back({"h:" + std::to_string(I), "p", "", false});
   std::vector<std::string> Nodes;
   for (int I = 0; I < 100; ++I)
     Nodes.push_back("n" + std::to_string(I));
-  std::vector<int> Takers(400, 0);
+  std::vector<int> NodesOfUpstream(400, 0);
   for (const std::string &Node : Nodes) {
     Subset S;
     S.Self = Node;
     subsetNodes(S, Nodes);
     for (std::size_t I : chooseSubset(S, Listed, 32))
-      ++Takers[I];
+      ++NodesOfUpstream[I];
   }
-  THEN("every upstream has the same number of nodes") {
-    for (int Count : Takers)
+  THEN("every upstream is used by the same number of nodes") {
+    for (int Count : NodesOfUpstream)
       CHECK(Count == 8);
   }
-  THEN("a node that goes changes few of another's upstreams") {
+  THEN("a node that leaves does not change another node's upstreams") {
     Subset S;
     S.Self = "n7";
     subsetNodes(S, Nodes);
@@ -316,10 +320,10 @@
     Nodes.erase(Nodes.begin() + 50);
     subsetNodes(S, Nodes);
     auto After = chooseSubset(S, Listed, 32);
-    Subset Anew;
-    Anew.Self = "n7";
-    subsetNodes(Anew, Nodes);
-    CHECK(chooseSubset(Anew, Listed, 32) == After);
+    Subset Rebuilt;
+    Rebuilt.Self = "n7";
+    subsetNodes(Rebuilt, Nodes);
+    CHECK(chooseSubset(Rebuilt, Listed, 32) == After);
     std::vector<std::size_t> Same;
     std::set_intersection(Before.begin(), Before.end(), After.begin(),
                           After.end(), std::back_inserter(Same));
@@ -327,14 +331,14 @@
   }
 }
 
-SCENARIO("estimates learn, and forget what is over") {
+SCENARIO("estimates follow new samples and expire old ones") {
   Estimate E = makeEstimate(10ms);
   TimePoint Now(1s);
   for (int I = 0; I < 200; ++I)
     estimateAdd(E, 900ms, Now += 1ms);
   CHECK(estimateAt(E, Quantile::High) > 800ms);
-  // Symptom: a stage that recovered is refused for good. Cause: nothing is
-  // admitted, so nothing is measured, so nothing is admitted.
+  // Guards against a stage that is rejected forever after it has recovered: no
+  // call is admitted, so there are no new samples, so the estimate stays high.
   for (int I = 0; I < 10; ++I)
     estimateAge(E, Now += 6s);
   CHECK(estimateAt(E, Quantile::High) < 20ms);
@@ -344,26 +348,26 @@
   PeerMessage M{"a", 7, 1, 1000, 3, 4, DemandReport{"org", 2.5}};
   M.FleetTime = Duration(9000000);
   std::string Bytes = encodePeer(M, "secret-between-nodes");
-  SECTION("the key's holder reads them") {
-    auto Back = decodePeer(Bytes, "secret-between-nodes", "");
-    REQUIRE(Back);
-    CHECK(Back->Sender == "a");
-    CHECK(Back->FleetTime == Duration(9000000));
-    CHECK(std::get<DemandReport>(Back->Body).Rate == 2.5);
+  SECTION("they decode with the same key") {
+    auto Decoded = decodePeer(Bytes, "secret-between-nodes", "");
+    REQUIRE(Decoded);
+    CHECK(Decoded->Sender == "a");
+    CHECK(Decoded->FleetTime == Duration(9000000));
+    CHECK(std::get<DemandReport>(Decoded->Body).Rate == 2.5);
   }
-  SECTION("also under the previous key, while keys are rolled") {
+  SECTION("they decode with the previous key during key rotation") {
     CHECK(decodePeer(Bytes, "new", "secret-between-nodes"));
   }
-  SECTION("a stranger's, a damaged and an empty one are nothing") {
+  SECTION("messages with another key, corrupt or empty ones are rejected") {
     CHECK_FALSE(decodePeer(Bytes, "other", ""));
     CHECK_FALSE(decodePeer("", "", ""));
     for (std::size_t I = 0; I < Bytes.size(); ++I) {
-      std::string Bad = Bytes;
-      Bad[I] = static_cast<char>(Bad[I] ^ 1);
-      CHECK_FALSE(decodePeer(Bad, "secret-between-nodes", ""));
+      std::string Corrupt = Bytes;
+      Corrupt[I] = static_cast<char>(Corrupt[I] ^ 1);
+      CHECK_FALSE(decodePeer(Corrupt, "secret-between-nodes", ""));
     }
   }
-  SECTION("a repeated one is known, one out of order is not") {
+  SECTION("replayed and too old messages are rejected, reordered ones not") {
     PeerWindow W;
     CHECK(windowAccept(W, 7, 10));
     CHECK(windowAccept(W, 7, 8));
@@ -376,7 +380,7 @@
   }
 }
 
-TEST_CASE("every kind of value survives its bytes (property)") {
+TEST_CASE("encoded values decode to the same value (property)") {
   CHECK(rc::check("codec", [](std::uint64_t Seed) {
     Random Rng(Seed);
     LedgerHead Head;
@@ -388,15 +392,15 @@
                               static_cast<WallMs>(Rng() >> 20),
                               ResultCode::Complete});
     Head.Segments.push_back({Rng(), 5});
-    auto Back = decodeHead(encodeHead(Head));
-    RC_ASSERT(Back->Entries == Head.Entries);
-    RC_ASSERT(Back->Segments == Head.Segments);
+    auto Decoded = decodeHead(encodeHead(Head));
+    RC_ASSERT(Decoded->Entries == Head.Entries);
+    RC_ASSERT(Decoded->Segments == Head.Segments);
     std::string Bytes(randomIndex(Rng, 100), '\0');
     for (char &C : Bytes)
       C = static_cast<char>(Rng());
     RC_ASSERT(base64Decode(base64Encode(Bytes)) == Bytes);
     RC_ASSERT(fromHex(toHex(Bytes)) == Bytes);
-    // Any bytes at all: an answer, never a crash.
+    // Decoders must not crash on arbitrary bytes.
     decodePeer(Bytes, "k", "");
     decodeBundle(Bytes);
     decodeHead(Bytes);
@@ -404,7 +408,7 @@
   }));
 }
 
-SCENARIO("a limit of the fleet follows demand") {
+SCENARIO("nodes share a fleet-wide rate limit by demand") {
   Demand D;
   TimePoint Now(1s);
   CHECK(demandShare(D, "o", 5, 10, Now) == Approx(0.1));
@@ -412,10 +416,10 @@
   CHECK(demandReported(D, "o", "b", 10, Now) == Approx(40));
   demandTotal(D, "o", 40, Now);
   CHECK(demandShare(D, "o", 30, 10, Now) == Approx(0.75));
-  THEN("a home that is silent is forgotten") {
+  THEN("a total that is not updated expires") {
     CHECK(demandShare(D, "o", 30, 10, Now + 20s) == Approx(0.1));
   }
-  THEN("an unchanged rate is not reported again at once") {
+  THEN("a rate that changed little is not reported again at once") {
     CHECK(demandDue(D, "o", 30, Now));
     CHECK_FALSE(demandDue(D, "o", 31, Now));
     CHECK(demandDue(D, "o", 60, Now));
@@ -423,7 +427,7 @@
   }
 }
 
-SCENARIO("a stop waits for callers, requests and the ledger") {
+SCENARIO("a graceful stop waits for callers, requests and the ledger") {
   DrainView View{TimePoint(1s), 3s, 60s, 0, 0};
   CHECK(drainPhase(View, TimePoint(2s)) == DrainPhase::Hidden);
   CHECK(drainPhase(View, TimePoint(5s)) == DrainPhase::Done);
@@ -436,7 +440,7 @@
   CHECK(drainPhase(View, TimePoint(11s)) == DrainPhase::Done);
 }
 
-SCENARIO("events are read from chunks that split them anywhere") {
+SCENARIO("events are parsed from chunks that are split at any byte") {
   std::string Text = "data: a\n\r\ndata:b\r\nevent: x\ndata: [DONE]\n\n";
   for (std::size_t Cut = 0; Cut <= Text.size(); ++Cut) {
     EventReader R;
@@ -448,16 +452,16 @@
   }
 }
 
-TEST_CASE("a quoted string reads back as it was (property)") {
+TEST_CASE("a quoted JSON string parses to the same text (property)") {
   CHECK(rc::check("quote", [](std::uint64_t Seed) {
     Random Rng(Seed);
     std::string Text;
     for (std::size_t I = randomIndex(Rng, 40); I > 0; --I)
       Text += static_cast<char>(randomIndex(Rng, 128));
-    Diagnostics Wrong;
-    auto Back = parseJson("{\"t\":" + quoteJson(Text) + "}",
-                          JsonDialect::Strict, Wrong);
-    RC_ASSERT(Back && Back->text("t") == Text);
+    Diagnostics Errors;
+    auto Decoded = parseJson("{\"t\":" + quoteJson(Text) + "}",
+                             JsonDialect::Strict, Errors);
+    RC_ASSERT(Decoded && Decoded->text("t") == Text);
   }));
 }
 
--- a/tests/test_ports.cpp
+++ b/tests/test_ports.cpp
@@ -1,33 +1,32 @@
-// A test that starts a node as a process on fixed ports failed once: "not in
-// force everywhere" after 30 s. Symptom: the node never answers. Sequence: a
-// test process whose id happens to be 165 modulo 200 listens on 28500 and up;
-// the node of the other test is started on 28503. Cause: tests chose ports from
-// a range that reached into the fixed ports of scripts, by their process id
-// alone. The same run with one of the node's ports held by hand fails the same
-// way.
+// Guards against port conflicts between test processes. Tests took their ports
+// by process id alone, from a range that overlapped the fixed ports of scripts:
+// a process with an id of 165 modulo 200 listened on 28500 and up, another test
+// started a node on 28503, and the node never answered ("not in force
+// everywhere" after 30 s). Occupying one of the node's ports by hand reproduces
+// the failure.
 #include "standin/port_range.h"
 
 #include <set>
 
 using namespace fulmar;
 
-/// The lowest port that a script has fixed (`scripts/streams`).
+/// The lowest fixed port of a script (`scripts/streams`).
 static constexpr int FirstScriptPort = 19000;
 
-SCENARIO("processes choose ports at the same moment") {
-  GIVEN("two ranges that are held") {
+SCENARIO("port ranges that are in use at the same time do not overlap") {
+  GIVEN("two reserved ranges") {
     PortRange One;
     PortRange Other;
     THEN("they do not overlap") {
       CHECK(std::abs(One.first() - Other.first()) >= PortsOfRange);
     }
-    THEN("neither reaches into the ports of scripts") {
+    THEN("neither overlaps the fixed ports of scripts") {
       CHECK(One.first() + PortsOfRange <= FirstScriptPort);
       CHECK(Other.first() + PortsOfRange <= FirstScriptPort);
     }
-    WHEN("ports are chosen beside them") {
+    WHEN("free ports are requested besides") {
       std::vector<int> Ports = freePorts("127.0.0.1", 10);
-      THEN("each is another one, and in none of the ranges held") {
+      THEN("they are distinct and outside both reserved ranges") {
         CHECK(std::set<int>(Ports.begin(), Ports.end()).size() == 10);
         for (int Port : Ports) {
           CHECK((Port < One.first() || Port >= One.first() + PortsOfRange));
@@ -36,8 +35,10 @@
       }
     }
   }
-  GIVEN("a range that is let go") {
+  GIVEN("a released range") {
     int Before = PortRange().first();
-    THEN("the next one gets it") { CHECK(PortRange().first() == Before); }
+    THEN("the next reservation gets it") {
+      CHECK(PortRange().first() == Before);
+    }
   }
 }
--- a/tests/test_result.cpp
+++ b/tests/test_result.cpp
@@ -1,13 +1,13 @@
-// The table of result codes.
+// Tests of the table of result codes.
 #include "result_func.h"
 
 #include "json_func.h"
 
 using namespace fulmar;
 
-SCENARIO("result codes are a contract with callers") {
+SCENARIO("the table of result codes is consistent") {
   GIVEN("the table") {
-    THEN("numbers rise, and each belongs to a family") {
+    THEN("numbers ascend, and each belongs to a family") {
       int Last = 0;
       for (const ResultInfo &Row : resultTable()) {
         CHECK(resultNumber(Row.Code) > Last);
@@ -16,7 +16,7 @@
         CHECK(Last / 1000 < static_cast<int>(ResultFamily::Count));
       }
     }
-    THEN("the documentation is what the table says") {
+    THEN("the documentation page matches the table") {
       CHECK(readFile(SOURCE_DIR "/docs/RESULT_CODES.md") ==
             resultTableMarkdown());
     }
--- a/tests/test_settings.cpp
+++ b/tests/test_settings.cpp
@@ -1,4 +1,4 @@
-// Settings and bundles: what operators write, and what they are told.
+// Tests of settings and bundle files: parsing, validation, error messages.
 #include "bench/demo.h"
 #include "bundle_func.h"
 #include "json_func.h"
@@ -6,31 +6,31 @@
 
 using namespace fulmar;
 
-static const char *const GoodSettings = R"({
+static const char *const ValidSettings = R"({
   // a comment
   "node_id": "n1", "failure_domain": "fd1",
   "kv_address": "127.0.0.1:8500", "host_list_address": "127.0.0.1:8501",
   "operator_token": "0123456789", "peer_key": "0123456789abcdef"
 })";
 
-static std::string problems(std::string_view Text) {
-  Diagnostics Wrong;
-  parseSettings(Text, Wrong);
-  return formatDiagnostics("node.json", Wrong);
+static std::string settingsErrors(std::string_view Text) {
+  Diagnostics Errors;
+  parseSettings(Text, Errors);
+  return formatDiagnostics("node.json", Errors);
 }
 
-static std::string bundleProblems(std::string_view Text) {
-  Diagnostics Wrong;
-  parseBundleSource(Text, Wrong);
-  return formatDiagnostics("b.json", Wrong);
+static std::string bundleErrors(std::string_view Text) {
+  Diagnostics Errors;
+  parseBundleSource(Text, Errors);
+  return formatDiagnostics("b.json", Errors);
 }
 
-SCENARIO("an operator writes a node's settings") {
-  GIVEN("a good file with comments") {
-    Diagnostics Wrong;
-    Settings S = parseSettings(GoodSettings, Wrong);
-    THEN("it is read, and what is left out has its default") {
-      CHECK(Wrong.empty());
+SCENARIO("settings files are parsed and validated") {
+  GIVEN("a valid file with comments") {
+    Diagnostics Errors;
+    Settings S = parseSettings(ValidSettings, Errors);
+    THEN("it is parsed, and omitted settings have their defaults") {
+      CHECK(Errors.empty());
       CHECK(S.NodeId == "n1");
       CHECK(S.EntryTtlMs == 3000);
     }
@@ -40,14 +40,14 @@
       CHECK_NOTHROW(loadSettings(std::string(SOURCE_DIR "/examples/") + Name +
                                  "-node.json"));
   }
-  GIVEN("a file with several mistakes") {
-    std::string Text = GoodSettings;
+  GIVEN("a file with several errors") {
+    std::string Text = ValidSettings;
     Text.replace(Text.find("\"n1\""), 4,
                  "\"n1\",\n  \"entry_tl_ms\": 5,\n"
                  "  \"entry_count\": 99");
     Text.replace(Text.find("127.0.0.1:8500"), 14, "localhost");
-    std::string Out = problems(Text);
-    THEN("all are named at once, with line, value, range and nearest name") {
+    std::string Out = settingsErrors(Text);
+    THEN("all are reported, with line, value, range and suggested name") {
       CHECK_THAT(Out, Catch::Contains("node.json:4: entry_tl_ms: unknown name; "
                                       "did you mean `entry_ttl_ms`?"));
       CHECK_THAT(Out,
@@ -56,33 +56,33 @@
       CHECK_THAT(Out, Catch::Contains("expected IP:PORT"));
     }
   }
-  GIVEN("a key that stands twice") {
-    THEN("it is refused with its line") {
-      CHECK_THAT(problems("{\n\"node_id\": \"a\",\n\"node_id\": \"b\"}"),
+  GIVEN("a duplicate key") {
+    THEN("it is rejected with its line number") {
+      CHECK_THAT(settingsErrors("{\n\"node_id\": \"a\",\n\"node_id\": \"b\"}"),
                  Catch::Contains("node.json:3") &&
                      Catch::Contains("Duplicate key"));
     }
   }
-  GIVEN("text that is not JSON, or nested without end") {
-    THEN("there is an error, not a crash") {
-      CHECK_FALSE(problems("{").empty());
-      CHECK_FALSE(problems("").empty());
-      CHECK_THAT(problems(std::string(5000, '[')),
+  GIVEN("text that is not JSON, or is nested too deeply") {
+    THEN("an error is reported without a crash") {
+      CHECK_FALSE(settingsErrors("{").empty());
+      CHECK_FALSE(settingsErrors("").empty());
+      CHECK_THAT(settingsErrors(std::string(5000, '[')),
                  Catch::Contains("nested deeper"));
     }
   }
-  THEN("the reference page is what the table says") {
+  THEN("the reference page matches the table") {
     CHECK(readFile(SOURCE_DIR "/docs/SETTINGS.md") == settingsMarkdown());
   }
 }
 
-SCENARIO("an operator writes a bundle") {
+SCENARIO("bundle files are parsed and validated") {
   GIVEN("the examples of both deployments") {
     for (const char *Name : {"avstamning", "turno-certo"}) {
       std::string Path =
           std::string(SOURCE_DIR "/examples/") + Name + "-bundle.json";
       BundleItems Items = loadBundleItems(Path);
-      THEN(std::string(Name) + " is good, with a non-idempotent pipeline") {
+      THEN(std::string(Name) + " is valid, with a non-idempotent pipeline") {
         BundlePtr B = buildBundle(Items, 7);
         CHECK(B->Version == 7);
         CHECK(B->Organisations.size() == 5);
@@ -91,16 +91,16 @@
       }
     }
   }
-  GIVEN("a pipeline that names a pool, and an organisation that names a "
-        "pipeline, which are not there") {
-    std::string Out = bundleProblems(R"({
+  GIVEN("a pipeline with an unknown pool and an organisation with an "
+        "unknown pipeline") {
+    std::string Out = bundleErrors(R"({
       "organisations": [ { "name": "a", "pipelines": ["pp"] } ],
       "pools": [ { "name": "encoders", "kind": "stage" } ],
       "pipelines": [
         { "name": "p",
           "stages": [ { "name": "s", "pool": "encoder" } ] } ]
     })");
-    THEN("both are refused with their lines") {
+    THEN("both are rejected with their line numbers") {
       CHECK_THAT(Out, Catch::Contains("b.json:6: pipelines/p/stages/0/pool: no "
                                       "pool \"encoder\"; did you mean "
                                       "\"encoders\"?"));
@@ -108,20 +108,20 @@
                                       "pipeline \"pp\""));
     }
   }
-  GIVEN("a model that is missing, a bad kind and a name with a quote") {
-    std::string Out = bundleProblems(R"({
+  GIVEN("an unknown model, an invalid kind and a name with a quote") {
+    std::string Out = bundleErrors(R"({
       "pools": [ { "name": "e", "kind": "engine", "model": "m" },
                  { "name": "x", "kind": "box" },
                  { "name": "q\"", "kind": "stage" } ]
     })");
-    THEN("all are refused") {
+    THEN("all are rejected") {
       CHECK_THAT(Out, Catch::Contains("no model \"m\""));
       CHECK_THAT(Out,
                  Catch::Contains("expected one of: stage, engine, service"));
       CHECK_THAT(Out, Catch::Contains("only letters, digits"));
     }
   }
-  THEN("the reference page is what the tables say") {
+  THEN("the reference page matches the tables") {
     CHECK(readFile(SOURCE_DIR "/docs/BUNDLE.md") == bundleMarkdown());
   }
 }
