--- a/src/table/bundle_fields.h
+++ b/src/table/bundle_fields.h
@@ -98,7 +98,7 @@
     {"max_limit", &PoolSpec::MaxLimit, "calls", 1, 4096, FieldNeed::Optional,
      "Calls at once to one upstream at most."},
     {"queue_limit", &PoolSpec::QueueLimit, "calls", 1, 1e6, FieldNeed::Optional,
-     "Calls waiting on one node at most."},
+     "Calls queued on one node at most."},
 };
 
 inline const Field<StageSpec> StageTable[] = {
@@ -122,12 +122,12 @@
     {"name", &PipelineSpec::Name, "", 1, 64, FieldNeed::Required,
      "Unique name, as callers send it."},
     {"class", ClassField, "", 0, 0, FieldNeed::Optional,
-     "Interactive goes ahead of batch."},
+     "Interactive requests take precedence over batch requests."},
     {"deadline_ms", &PipelineSpec::DeadlineMs, "ms", 1, 600000,
      FieldNeed::Optional,
      "Deadline over all stages; callers may ask for less."},
     {"retry_ratio", &PipelineSpec::RetryRatio, "", 0, 1, FieldNeed::Optional,
-     "Extra attempts allowed for each fresh one."},
+     "Extra attempts allowed for each first attempt."},
     {"hedge", &PipelineSpec::Hedge, "", 0, 1, FieldNeed::Optional,
      "Whether a slow idempotent attempt is doubled, within the retry ratio."},
 };
--- a/src/table/result_codes.h
+++ b/src/table/result_codes.h
@@ -1,6 +1,6 @@
 // The table of result codes: number, name, HTTP status, retry-after in ms (0:
-// do not repeat), help. Included several times with RESULT_CODE defined.
-// docs/RESULT_CODES.md is written from it; a test keeps the two the same.
+// do not retry), help. Included several times with RESULT_CODE defined.
+// docs/RESULT_CODES.md is generated from it; a test compares the two.
 
 RESULT_CODE(1000, Complete, 200, 0, "The request ran; this is its whole answer.")
 RESULT_CODE(1001, CompletedEarlier, 200, 0, "A request with this id completed earlier; it was not run again.")
