--- a/tests/fuzz/fuzz_readers.cpp
+++ b/tests/fuzz/fuzz_readers.cpp
@@ -2,8 +2,7 @@
 /// write.
 ///
 /// The first byte selects the reader, the rest is its input. A reader may
-/// reject any input; it must terminate and must not access memory out of
-/// bounds.
+/// reject any input; it must terminate and stay within its memory.
 #include <cstdint>
 #include <cstdlib>
 
