--- a/src/bench/policy.cpp
+++ b/src/bench/policy.cpp
@@ -1,4 +1,5 @@
-/// \file policy.cpp The router's decisions under load, in virtual time.
+/// \file policy.cpp Simulates the router's decisions under load, in
+/// virtual time.
 #include "bench/policy_func.h"
 
 #include <algorithm>
@@ -16,41 +17,43 @@
 
 static constexpr Duration WireDelay = std::chrono::microseconds(300);
 static constexpr Duration HostListPeriod = std::chrono::milliseconds(500);
-/// After the last request, everything has this long to end.
-static constexpr Duration Tail = std::chrono::seconds(40);
+/// Time for requests in flight to end after sending has stopped.
+static constexpr Duration DrainTime = std::chrono::seconds(40);
 static constexpr double BurstPeriodSeconds = 5;
 
-static void perform(PolicyWorld &W, std::size_t Node, RouterActions &Actions);
+static void executeActions(PolicyWorld &W, std::size_t Node,
+                           RouterActions &Actions);
 
 static void at(PolicyWorld &W, TimePoint When, std::function<void()> Fn) {
   W.Events.emplace(When, std::move(Fn));
 }
 
-/// Feeds one event to a router and carries out its actions.
+/// Passes one event to a router and executes the actions that it returns.
 template <typename Fn>
-static void feed(PolicyWorld &W, std::size_t Node, Fn Event) {
+static void handleEvent(PolicyWorld &W, std::size_t Node, Fn Event) {
   RouterActions Out;
   Event(W.Routers[Node], Out);
-  perform(W, Node, Out);
+  executeActions(W, Node, Out);
 }
 
 static double serviceMs(PolicyWorld &W, const ModelUpstream &U) {
-  double Swing = 1 + U.Shape.Spread * (2 * randomUnit(W.Rng) - 1);
-  return U.Shape.BaseMs * Swing * U.Slow;
+  double Jitter = 1 + U.Behaviour.Spread * (2 * randomUnit(W.Rng) - 1);
+  return U.Behaviour.BaseMs * Jitter * U.Slow;
 }
 
-/// How much slower an engine is because its batch is over capacity.
-static double crowding(const ModelUpstream &U) {
-  return std::max(1.0, static_cast<double>(U.Active) / U.Shape.Capacity);
+/// \return The factor by which an engine is slower when its batch is over
+/// capacity, at least 1.
+static double overloadFactor(const ModelUpstream &U) {
+  return std::max(1.0, static_cast<double>(U.Active) / U.Behaviour.Capacity);
 }
 
 static void startCall(PolicyWorld &W, std::size_t Node, AttemptId Id);
 
-/// Frees a slot and lets the next waiting call start.
+/// Frees a slot and starts the next queued call.
 static void freeSlot(PolicyWorld &W, std::size_t Index) {
   ModelUpstream &U = W.Upstreams[Index];
   --U.Active;
-  if (U.Waiting.empty() || U.Active >= U.Shape.Capacity)
+  if (U.Waiting.empty() || U.Active >= U.Behaviour.Capacity)
     return;
   auto [Node, Id] = U.Waiting.front();
   U.Waiting.pop_front();
@@ -65,7 +68,7 @@
   Result.ReportedLoad = W.Upstreams[Call.Upstream].Active;
   if (!Call.Cancelled)
     at(W, W.Now + WireDelay, [&W, Node, Id, Result] {
-      feed(W, Node, [&](RouterState &S, RouterActions &Out) {
+      handleEvent(W, Node, [&](RouterState &S, RouterActions &Out) {
         attemptEnded(S, Id, Result, W.Now, Out);
       });
     });
@@ -89,7 +92,8 @@
   endCall(W, Node, Id, Result);
 }
 
-/// Makes the next token; all calls of an engine share its steps.
+/// Generates the next token of a call; all calls of an engine share its
+/// capacity.
 static void stepToken(PolicyWorld &W, std::size_t Node, AttemptId Id) {
   auto Found = W.Calls.find({Node, Id});
   if (Found == W.Calls.end())
@@ -97,7 +101,7 @@
   ModelCall &Call = Found->second;
   const ModelUpstream &U = W.Upstreams[Call.Upstream];
   ++Call.TokensDone;
-  feed(W, Node, [&](RouterState &S, RouterActions &Out) {
+  handleEvent(W, Node, [&](RouterState &S, RouterActions &Out) {
     attemptToken(S, Id, "t", W.Now, Out);
   });
   Found = W.Calls.find({Node, Id});
@@ -105,7 +109,7 @@
     return;
   if (--Found->second.TokensLeft <= 0)
     return finishWork(W, Node, Id);
-  at(W, W.Now + fromMs(U.Shape.TokenMs * crowding(U) * U.Slow),
+  at(W, W.Now + fromMs(U.Behaviour.TokenMs * overloadFactor(U) * U.Slow),
      [&W, Node, Id] { stepToken(W, Node, Id); });
 }
 
@@ -129,7 +133,7 @@
             .size());
   double Ms = serviceMs(W, U);
   if (Engine)
-    Ms *= crowding(U);
+    Ms *= overloadFactor(U);
   at(W, W.Now + fromMs(Ms), [&W, Node, Id, Engine] {
     if (Engine)
       stepToken(W, Node, Id);
@@ -138,7 +142,7 @@
   });
 }
 
-static void arrive(PolicyWorld &W, std::size_t Node, AttemptId Id) {
+static void callArrived(PolicyWorld &W, std::size_t Node, AttemptId Id) {
   auto Found = W.Calls.find({Node, Id});
   if (Found == W.Calls.end())
     return;
@@ -147,12 +151,12 @@
   if (U.Dead) {
     W.Calls.erase(Found);
     AttemptResult Result{AttemptEnd::ConnectFailed, "", "dead"};
-    return feed(W, Node, [&](RouterState &S, RouterActions &Out) {
+    return handleEvent(W, Node, [&](RouterState &S, RouterActions &Out) {
       attemptEnded(S, Id, Result, W.Now, Out);
     });
   }
   attemptSent(W.Routers[Node], Id);
-  if (Call.Action.Kind == PoolKind::Engine || U.Active < U.Shape.Capacity)
+  if (Call.Action.Kind == PoolKind::Engine || U.Active < U.Behaviour.Capacity)
     return startCall(W, Node, Id);
   U.Waiting.emplace_back(Node, Id);
 }
@@ -166,24 +170,24 @@
   return W.Upstreams.size();
 }
 
-static void carryOut(PolicyWorld &W, std::size_t Node,
-                     const DispatchAction &Action) {
+static void execute(PolicyWorld &W, std::size_t Node,
+                    const DispatchAction &Action) {
   ModelCall Call;
   Call.Node = Node;
   Call.Upstream = upstreamAt(W, Action.Address);
   Call.Action = Action;
   AttemptId Id = Action.Attempt;
   W.Calls.emplace(std::make_pair(Node, Id), std::move(Call));
-  at(W, W.Now + WireDelay, [&W, Node, Id] { arrive(W, Node, Id); });
+  at(W, W.Now + WireDelay, [&W, Node, Id] { callArrived(W, Node, Id); });
 }
 
-static void carryOut(PolicyWorld &W, std::size_t Node,
-                     const CancelAction &Action) {
+static void execute(PolicyWorld &W, std::size_t Node,
+                    const CancelAction &Action) {
   auto Found = W.Calls.find({Node, Action.Attempt});
   if (Found == W.Calls.end())
     return;
   ModelCall &Call = Found->second;
-  // A plain service does what it has begun; the others stop.
+  // A plain service completes a call that it has started; engines stop.
   if (Call.Action.Kind == PoolKind::Plain && Call.Started) {
     Call.Cancelled = true;
     return;
@@ -196,19 +200,19 @@
     freeSlot(W, Upstream);
 }
 
-static void carryOut(PolicyWorld &, std::size_t, const TokenAction &) {}
+static void execute(PolicyWorld &, std::size_t, const TokenAction &) {}
 
-static void carryOut(PolicyWorld &W, std::size_t Node,
-                     const FinishAction &Action) {
+static void execute(PolicyWorld &W, std::size_t Node,
+                    const FinishAction &Action) {
   const RequestReport &Report = Action.Report;
-  metricsAdd(W.Counted, Report);
+  metricsAdd(W.RequestMetrics, Report);
   for (const StageRun &Run : Report.Ran) {
     W.BusyMs += Run.BusyMs;
     if (Report.Code != ResultCode::Complete)
       W.LostBusyMs += Run.BusyMs;
   }
-  auto Found = W.Asked.find({Node, Report.Serial});
-  if (Found == W.Asked.end())
+  auto Found = W.EventIndices.find({Node, Report.Serial});
+  if (Found == W.EventIndices.end())
     return;
   CallerEvent &Event = W.Seen.Callers[Found->second];
   Event.Code = resultNumber(Report.Code);
@@ -217,8 +221,8 @@
     Event.Output = Report.Output;
 }
 
-static void carryOut(PolicyWorld &W, std::size_t Node,
-                     const ClaimAction &Action) {
+static void execute(PolicyWorld &W, std::size_t Node,
+                    const ClaimAction &Action) {
   ClaimVerdict Verdict = ClaimVerdict::Granted;
   if (W.KvOutage)
     Verdict = ClaimVerdict::Unavailable;
@@ -226,21 +230,22 @@
     Verdict = ClaimVerdict::InProgress;
   RequestSerial Serial = Action.Request;
   at(W, W.Now + fromMs(W.Plan.ClaimMs), [&W, Node, Serial, Verdict] {
-    feed(W, Node, [&](RouterState &S, RouterActions &Out) {
+    handleEvent(W, Node, [&](RouterState &S, RouterActions &Out) {
       claimAnswered(S, Serial, Verdict, ResultCode::Invalid, W.Now, Out);
     });
   });
 }
 
-static void carryOut(PolicyWorld &W, std::size_t, const ReleaseAction &Action) {
+static void execute(PolicyWorld &W, std::size_t, const ReleaseAction &Action) {
   W.Claims[Action.RequestId] = 0;
 }
 
-static void carryOut(PolicyWorld &, std::size_t, const RecordAction &) {}
+static void execute(PolicyWorld &, std::size_t, const RecordAction &) {}
 
-static void perform(PolicyWorld &W, std::size_t Node, RouterActions &Actions) {
+static void executeActions(PolicyWorld &W, std::size_t Node,
+                           RouterActions &Actions) {
   for (RouterAction &Action : Actions)
-    std::visit([&](auto &A) { carryOut(W, Node, A); }, Action);
+    std::visit([&](auto &A) { execute(W, Node, A); }, Action);
 }
 
 static void sendRequest(PolicyWorld &W, const ModelSource &Source) {
@@ -261,11 +266,12 @@
   Event.Deadline = std::chrono::milliseconds(Pipeline->DeadlineMs);
   Event.Expected = expectedOutput(*W.Plan.Under, *Pipeline, Input.Input);
   std::size_t Node = randomIndex(W.Rng, W.Routers.size());
-  // The router may finish a request before it has told its name.
+  // The router may finish the request before submitRequest() returns, so the
+  // serial that it will assign is registered first.
   RequestSerial Next{W.Routers[Node].LastSerial + 1};
-  W.Asked[{Node, Next}] = W.Seen.Callers.size();
+  W.EventIndices[{Node, Next}] = W.Seen.Callers.size();
   W.Seen.Callers.push_back(std::move(Event));
-  feed(W, Node, [&](RouterState &S, RouterActions &Out) {
+  handleEvent(W, Node, [&](RouterState &S, RouterActions &Out) {
     submitRequest(S, Input, W.Now, Out);
   });
 }
@@ -293,23 +299,23 @@
                       "fd" + std::to_string(I % 3 + 1),
                       W.Upstreams[I].Leaving});
   for (std::size_t N = 0; N < W.Routers.size(); ++N)
-    feed(W, N, [&](RouterState &S, RouterActions &Out) {
+    handleEvent(W, N, [&](RouterState &S, RouterActions &Out) {
       hostListChanged(S, Listed, W.Now, Out);
     });
   if (W.Now < TimePoint(W.Plan.Length))
     at(W, W.Now + HostListPeriod, [&W] { pollHosts(W); });
 }
 
-static void prepare(PolicyWorld &W) {
+static void initWorld(PolicyWorld &W) {
   W.Rng.seed(W.Plan.Seed);
   int Port = 1;
   for (const PoolSpec &Pool : W.Plan.Under->Pools) {
-    const ModelShape &Shape = W.Plan.Shapes[Pool.Name];
-    for (int I = 0; I < Shape.Count; ++I) {
+    const ModelBehaviour &Behaviour = W.Plan.Behaviours[Pool.Name];
+    for (int I = 0; I < Behaviour.Count; ++I) {
       ModelUpstream U;
       U.Address = "10.0.0.1:" + std::to_string(Port++);
       U.Pool = Pool.Name;
-      U.Shape = Shape;
+      U.Behaviour = Behaviour;
       W.Upstreams.push_back(std::move(U));
     }
   }
@@ -319,7 +325,7 @@
     W.Routers[N].Rng.seed(W.Plan.Seed * 1000 + N);
     W.Routers[N].OwnDomain = "fd" + std::to_string(N % 3 + 1);
     W.Routers[N].MaxRequests = 100000;
-    feed(W, N, [&](RouterState &S, RouterActions &Out) {
+    handleEvent(W, N, [&](RouterState &S, RouterActions &Out) {
       bundleInForce(S, W.Plan.Under, W.Now, Out);
     });
   }
@@ -327,11 +333,11 @@
   for (std::size_t I = 0; I < W.Plan.Sources.size(); ++I)
     scheduleSource(W, I);
   for (const ModelFault &Fault : W.Plan.Faults)
-    at(W, Fault.At, [&W, Do = Fault.Do] { Do(W); });
+    at(W, Fault.At, [&W, Apply = Fault.Apply] { Apply(W); });
 }
 
 static void runWorld(PolicyWorld &W) {
-  TimePoint End = TimePoint(W.Plan.Length) + Tail;
+  TimePoint End = TimePoint(W.Plan.Length) + DrainTime;
   while (W.Now < End) {
     TimePoint Next = End;
     if (!W.Events.empty())
@@ -352,31 +358,32 @@
     for (std::size_t N = 0; N < W.Routers.size(); ++N) {
       auto Due = routerNextDue(W.Routers[N]);
       if (Due && *Due <= W.Now)
-        feed(W, N, [&](RouterState &S, RouterActions &Out) {
+        handleEvent(W, N, [&](RouterState &S, RouterActions &Out) {
           routerTick(S, W.Now, Out);
         });
     }
   }
 }
 
-/// Work that one request asks of a pool, in ms of a slot.
+/// \return The work that one request puts on a pool, in ms of one slot.
 static double workOf(const PolicyPlan &Plan, const PipelineSpec &Pipeline,
                      const std::string &Pool) {
   double Ms = 0;
   for (const StageSpec &Stage : Pipeline.Stages) {
     if (Stage.Pool != Pool)
       continue;
-    const ModelShape &Shape = Plan.Shapes.at(Pool);
-    Ms += Shape.BaseMs;
+    const ModelBehaviour &Behaviour = Plan.Behaviours.at(Pool);
+    Ms += Behaviour.BaseMs;
     if (Bundle::find(Plan.Under->Pools, Pool)->Kind == PoolKind::Engine)
-      // The answers of the stand-ins are 1.5 tokens shorter on average.
-      Ms += (static_cast<double>(Stage.MaxTokens) - 1.5) * Shape.TokenMs;
+      // Responses of the stand-ins are on average 1.5 tokens shorter than
+      // MaxTokens.
+      Ms += (static_cast<double>(Stage.MaxTokens) - 1.5) * Behaviour.TokenMs;
   }
   return Ms;
 }
 
-std::pair<double, std::string> fullestPool(const PolicyPlan &Plan) {
-  std::pair<double, std::string> Fullest{0, ""};
+std::pair<double, std::string> bottleneckPool(const PolicyPlan &Plan) {
+  std::pair<double, std::string> Bottleneck{0, ""};
   for (const PoolSpec &Pool : Plan.Under->Pools) {
     double Work = 0;
     for (const ModelSource &Source : Plan.Sources) {
@@ -387,16 +394,16 @@
           workOf(Plan, *Bundle::find(Plan.Under->Pipelines, Source.Pipeline),
                  Pool.Name);
     }
-    const ModelShape &Shape = Plan.Shapes.at(Pool.Name);
-    double Use = Work / 1e3 / (Shape.Count * Shape.Capacity);
-    if (Use > Fullest.first)
-      Fullest = {Use, Pool.Name};
+    const ModelBehaviour &Behaviour = Plan.Behaviours.at(Pool.Name);
+    double Use = Work / 1e3 / (Behaviour.Count * Behaviour.Capacity);
+    if (Use > Bottleneck.first)
+      Bottleneck = {Use, Pool.Name};
   }
-  return Fullest;
+  return Bottleneck;
 }
 
 void scaleLoad(PolicyPlan &Plan, double Load) {
-  double Factor = Load / fullestPool(Plan).first;
+  double Factor = Load / bottleneckPool(Plan).first;
   for (ModelSource &Source : Plan.Sources)
     Source.Rate *= Factor;
 }
@@ -407,21 +414,21 @@
 }
 
 static double goodput(const PolicyWorld &W) {
-  std::string Pool = fullestPool(W.Plan).second;
+  std::string Pool = bottleneckPool(W.Plan).second;
   double Useful = 0;
   for (const CallerEvent &E : W.Seen.Callers) {
     if (onTime(E))
       Useful += workOf(
           W.Plan, *Bundle::find(W.Plan.Under->Pipelines, E.Pipeline), Pool);
   }
-  const ModelShape &Shape = W.Plan.Shapes.at(Pool);
-  return Useful / (toMs(W.Plan.Length) * Shape.Count * Shape.Capacity);
+  const ModelBehaviour &Behaviour = W.Plan.Behaviours.at(Pool);
+  return Useful / (toMs(W.Plan.Length) * Behaviour.Count * Behaviour.Capacity);
 }
 
 static void countCosts(const PolicyWorld &W, PolicyResult &Out) {
   double Busy = 0, Wasted = 0;
   std::uint64_t Calls = 0, Needed = 0;
-  for (const auto &[Key, Cost] : W.Counted.Costs) {
+  for (const auto &[Key, Cost] : W.RequestMetrics.Costs) {
     Busy += Cost.BusyMs;
     Wasted += Cost.WastedMs;
     Calls += Cost.Calls;
@@ -440,25 +447,25 @@
 static PolicyResult evaluate(const PolicyWorld &W) {
   PolicyResult Out;
   std::map<std::string, double> Good;
-  double Established = 0, EstablishedGood = 0, AllGood = 0;
+  double Established = 0, EstablishedOnTime = 0, AllOnTime = 0;
   for (const CallerEvent &E : W.Seen.Callers) {
     ++Out.Requests;
     ++Out.Codes[E.Code];
-    ++Out.RequestsOf[E.Organisation];
+    ++Out.RequestsByOrganisation[E.Organisation];
     double Hit = onTime(E) ? 1 : 0;
     Good[E.Organisation] += Hit;
-    AllGood += Hit;
+    AllOnTime += Hit;
     const auto *Spec =
         Bundle::find(W.Plan.Under->Organisations, E.Organisation);
     if (Spec->Group != OrganisationGroup::Established)
       continue;
     Established += 1;
-    EstablishedGood += Hit;
+    EstablishedOnTime += Hit;
   }
-  for (const auto &[Name, Count] : Out.RequestsOf)
-    Out.OnTimeOf[Name] = Good[Name] / static_cast<double>(Count);
-  Out.OnTime = AllGood / std::max(1.0, static_cast<double>(Out.Requests));
-  Out.OnTimeEstablished = EstablishedGood / std::max(1.0, Established);
+  for (const auto &[Name, Count] : Out.RequestsByOrganisation)
+    Out.OnTimeByOrganisation[Name] = Good[Name] / static_cast<double>(Count);
+  Out.OnTime = AllOnTime / std::max(1.0, static_cast<double>(Out.Requests));
+  Out.OnTimeEstablished = EstablishedOnTime / std::max(1.0, Established);
   Out.Goodput = goodput(W);
   Out.P50Ms = latencyQuantile(W.Seen, 0.5);
   Out.P99Ms = latencyQuantile(W.Seen, 0.99);
@@ -469,7 +476,7 @@
 
 PolicyResult runPolicy(const PolicyPlan &Plan, PolicyWorld &World) {
   World.Plan = Plan;
-  prepare(World);
+  initWorld(World);
   runWorld(World);
   return evaluate(World);
 }
--- a/src/bench/policy_base.h
+++ b/src/bench/policy_base.h
@@ -1,4 +1,5 @@
-/// \file policy_base.h The router's decisions under load, in virtual time.
+/// \file policy_base.h Types of the simulation of the router's decisions under
+/// load, in virtual time.
 #ifndef FULMARSTEP_POLICY_BASE_H
 #define FULMARSTEP_POLICY_BASE_H
 
@@ -14,108 +15,122 @@
 namespace fulmar {
 
 /// How the upstreams of one pool behave.
-struct ModelShape {
-  int Count = 4;       ///< Upstreams.
-  int Capacity = 8;    ///< Calls at once at full speed.
-  double BaseMs = 4;   ///< Time of a call, or to the first token.
-  double TokenMs = 2;  ///< Time of a token at full speed.
-  double Spread = 0.3; ///< Random part of BaseMs, up and down.
+struct ModelBehaviour {
+  int Count = 4;      ///< Number of upstreams.
+  int Capacity = 8;   ///< Concurrent calls at full speed.
+  double BaseMs = 4;  ///< Mean service time, or time to the first token, in ms.
+  double TokenMs = 2; ///< Time per token at full speed, in ms.
+  double Spread = 0.3; ///< Jitter of BaseMs, as a share of it up and down.
 };
 
-/// A modelled upstream: it does nothing but take its time.
+/// A simulated upstream: occupies capacity for the time of each call.
 struct ModelUpstream {
-  std::string Address;  ///< IP:PORT.
-  std::string Pool;     ///< Its pool.
-  ModelShape Shape;     ///< Normal behaviour.
-  double Slow = 1;      ///< Times are multiplied by this.
-  bool Dead = false;    ///< Refuses connections.
-  double Fail = 0;      ///< Share of calls answered with an error.
-  double CutAfter = 0;  ///< Share of calls that run, then are lost.
-  bool Leaving = false; ///< In the host list.
-  int Active = 0;       ///< Calls being worked on.
-  std::list<std::pair<std::size_t, AttemptId>> Waiting; ///< Over capacity.
+  std::string Address;      ///< IP:PORT.
+  std::string Pool;         ///< Name of its pool.
+  ModelBehaviour Behaviour; ///< Behaviour without faults.
+  double Slow = 1;          ///< Factor on all service times.
+  bool Dead = false;        ///< Refuses connections.
+  double Fail = 0;          ///< Share of calls answered with an error, 0 to 1.
+  double CutAfter =
+      0; ///< Share of calls that run and whose response is lost, 0 to 1.
+  bool Leaving = false; ///< The host list marks it as leaving.
+  int Active = 0;       ///< Calls being served.
+  std::list<std::pair<std::size_t, AttemptId>>
+      Waiting; ///< Calls queued over capacity: node and attempt.
 };
 
 /// A source of requests.
 struct ModelSource {
-  std::string Organisation;           ///< Who.
-  std::string Pipeline;               ///< What for.
-  double Rate = 0;                    ///< Requests/s.
-  TimePoint From{};                   ///< First moment.
-  TimePoint Until = TimePoint::max(); ///< Last moment.
-  double BurstFactor = 1; ///< Rate in bursts, of one second in five.
+  std::string Organisation;           ///< Organisation that sends the requests.
+  std::string Pipeline;               ///< Pipeline that they ask for.
+  double Rate = 0;                    ///< Mean rate in requests/s, Poisson.
+  TimePoint From{};                   ///< Start of the load.
+  TimePoint Until = TimePoint::max(); ///< End of the load.
+  double BurstFactor =
+      1; ///< Factor on Rate in bursts, which last one second in five.
 };
 
-/// Something that happens at a set time.
+/// A fault that is injected at a set time.
 struct ModelFault {
-  TimePoint At{};                               ///< When.
-  std::function<void(struct PolicyWorld &)> Do; ///< What.
+  TimePoint At{};                                  ///< When.
+  std::function<void(struct PolicyWorld &)> Apply; ///< Injects the fault.
 };
 
-/// One experiment.
+/// Configuration of one simulation run.
 struct PolicyPlan {
-  std::string Name;                           ///< For tables.
-  BundlePtr Under;                            ///< Bundle.
-  std::map<std::string, ModelShape> Shapes;   ///< By pool.
-  std::vector<ModelSource> Sources;           ///< Load.
-  std::vector<ModelFault> Faults;             ///< Script of faults.
-  Duration Length = std::chrono::seconds(20); ///< Of sending.
-  std::size_t Nodes = 1;  ///< Routers that share the upstreams.
-  double ClaimMs = 8;     ///< Time of a claim.
-  std::uint64_t Seed = 1; ///< Of everything.
-  RouterPolicy Policy;    ///< What is compared.
+  std::string Name; ///< Scenario name, for tables.
+  BundlePtr Under;  ///< Bundle in force.
+  std::map<std::string, ModelBehaviour>
+      Behaviours;                   ///< Behaviour of the upstreams, by pool.
+  std::vector<ModelSource> Sources; ///< Sources of the load.
+  std::vector<ModelFault> Faults;   ///< Faults to inject.
+  Duration Length =
+      std::chrono::seconds(20); ///< Time during which requests are sent.
+  std::size_t Nodes = 1;        ///< Number of routers that share the upstreams.
+  double ClaimMs = 8;           ///< Time to answer a claim, in ms.
+  std::uint64_t Seed = 1;       ///< Seed of all random generators.
+  RouterPolicy Policy;          ///< Router policy under test.
 };
 
-/// A call in progress at a modelled upstream.
+/// A call in flight to a simulated upstream.
 struct ModelCall {
   std::size_t Node = 0;        ///< Router that sent it.
-  std::size_t Upstream = 0;    ///< Index.
-  DispatchAction Action;       ///< What was sent.
-  std::size_t Execution = 0;   ///< Index in the history.
-  bool Started = false;        ///< Not waiting any more.
-  bool Cancelled = false;      ///< Its router has closed it.
-  std::int64_t TokensLeft = 0; ///< Of an engine.
-  std::int64_t TokensDone = 0; ///< Of an engine.
-  TimePoint Began{};           ///< When work on it began.
+  std::size_t Upstream = 0;    ///< Index in PolicyWorld::Upstreams.
+  DispatchAction Action;       ///< The dispatch that started it.
+  std::size_t Execution = 0;   ///< Index in History::Executions.
+  bool Started = false;        ///< The upstream has begun to serve it.
+  bool Cancelled = false;      ///< Its router has cancelled it.
+  std::int64_t TokensLeft = 0; ///< Tokens still to generate, of an engine.
+  std::int64_t TokensDone = 0; ///< Tokens generated, of an engine.
+  TimePoint Began{};           ///< When the upstream began to serve it.
 };
 
-/// The state of an experiment.
+/// The state of a simulation run.
 struct PolicyWorld {
-  PolicyPlan Plan;                      ///< What to do.
+  PolicyPlan Plan;                      ///< Configuration of the run.
   TimePoint Now{};                      ///< Virtual time.
-  Random Rng;                           ///< Seeded.
-  std::vector<RouterState> Routers;     ///< One for each node.
-  std::vector<ModelUpstream> Upstreams; ///< All.
-  std::multimap<TimePoint, std::function<void()>> Events;       ///< Agenda.
-  std::map<std::pair<std::size_t, AttemptId>, ModelCall> Calls; ///< Live.
+  Random Rng;                           ///< Seeded from the plan.
+  std::vector<RouterState> Routers;     ///< State of each node's router.
+  std::vector<ModelUpstream> Upstreams; ///< Upstreams of all pools.
+  std::multimap<TimePoint, std::function<void()>>
+      Events; ///< Event queue, by time.
+  std::map<std::pair<std::size_t, AttemptId>, ModelCall>
+      Calls; ///< Calls in flight, by node and attempt.
   std::map<std::pair<std::size_t, RequestSerial>, std::size_t>
-      Asked;                         ///< To
-                                     ///< caller events.
-  std::map<std::string, int> Claims; ///< Ids that are claimed.
-  bool KvOutage = false;             ///< Claims are refused.
-  History Seen;                      ///< By callers and upstreams.
-  Metrics Counted;                   ///< Over all nodes.
-  double BusyMs = 0;                 ///< Upstream time of all ended requests.
-  double LostBusyMs = 0;             ///< Of those that did not complete.
-  std::uint64_t LastId = 0;          ///< Counts requests.
+      EventIndices; ///< Index in Seen.Callers of each request, by node and
+                    ///< serial.
+  std::map<std::string, int> Claims; ///< Number of claims held, by request id.
+  bool KvOutage =
+      false;    ///< The key-value service is down: claims get Unavailable.
+  History Seen; ///< Record of callers and upstreams, for the checker.
+  Metrics RequestMetrics; ///< Request metrics, over all nodes.
+  double BusyMs = 0;      ///< Upstream time of all ended requests, in ms.
+  double LostBusyMs =
+      0; ///< Upstream time of ended requests that did not complete, in ms.
+  std::uint64_t LastId = 0; ///< Number of the latest request id.
 };
 
-/// What an experiment came to.
+/// Results of a simulation run.
 struct PolicyResult {
-  double OnTime = 0;                             ///< Share of all requests.
-  std::map<std::string, double> OnTimeOf;        ///< By organisation.
-  std::map<std::string, std::size_t> RequestsOf; ///< By organisation.
-  double OnTimeEstablished = 0; ///< Share, of established organisations.
-  double Goodput = 0;       ///< On-time work of the fullest pool over what it
-                            ///< could have done.
-  double Amplification = 0; ///< Attempts over stage calls needed.
-  double WastedShare = 0;   ///< Busy time of attempts that did not count.
-  double LostShare = 0;     ///< Busy time of requests that did not complete.
-  double P50Ms = 0;         ///< Of complete answers.
-  double P99Ms = 0;         ///< Of complete answers.
-  std::size_t Requests = 0; ///< Sent.
-  Violations Broken;        ///< Promises.
-  std::map<int, std::size_t> Codes; ///< Answers by code.
+  double OnTime = 0; ///< On-time share of all requests.
+  std::map<std::string, double>
+      OnTimeByOrganisation; ///< On-time share, by organisation.
+  std::map<std::string, std::size_t>
+      RequestsByOrganisation; ///< Requests sent, by organisation.
+  double OnTimeEstablished =
+      0; ///< On-time share of the requests of established organisations.
+  double Goodput = 0; ///< On-time work of the bottleneck pool, as a share of
+                      ///< the pool's capacity.
+  double Amplification = 0; ///< Attempts per stage call needed.
+  double WastedShare =
+      0; ///< Share of busy time spent on attempts whose result was not used.
+  double LostShare =
+      0; ///< Share of busy time spent on requests that did not complete.
+  double P50Ms = 0;         ///< Median latency of complete answers, in ms.
+  double P99Ms = 0;         ///< 99th percentile of the same, in ms.
+  std::size_t Requests = 0; ///< Requests sent.
+  Violations Broken;        ///< Violations found by checkHistory().
+  std::map<int, std::size_t> Codes; ///< Number of answers, by result code.
 };
 
 } // namespace fulmar
--- a/src/bench/policy_func.h
+++ b/src/bench/policy_func.h
@@ -1,4 +1,4 @@
-/// \file policy_func.h Running experiments on the router's decisions.
+/// \file policy_func.h Runs simulations of the router's decisions.
 #ifndef FULMARSTEP_POLICY_FUNC_H
 #define FULMARSTEP_POLICY_FUNC_H
 
@@ -6,27 +6,28 @@
 
 namespace fulmar {
 
-/// Runs one experiment.
+/// Runs one simulation.
 PolicyResult runPolicy(const PolicyPlan &Plan);
 
-/// Runs one experiment and keeps its world, for tests.
+/// Runs one simulation and leaves its final state in \p World, for tests.
 PolicyResult runPolicy(const PolicyPlan &Plan, PolicyWorld &World);
 
-/// Sets all rates so that the fullest pool is offered \p Load times what it
-/// can do.
+/// Scales all rates so that the load offered to the bottleneck pool is \p Load
+/// times its capacity.
 void scaleLoad(PolicyPlan &Plan, double Load);
 
-/// \return The utilisation of the fullest pool at the plan's rates, and its
-/// name.
-std::pair<double, std::string> fullestPool(const PolicyPlan &Plan);
+/// \return The utilisation of the bottleneck pool, which is the one with the
+/// highest utilisation at the plan's rates, and its name.
+std::pair<double, std::string> bottleneckPool(const PolicyPlan &Plan);
 
-/// A plan with the Avstämning example's load, for scenarios to change.
+/// \return A plan with the load of the Avstämning example, without faults; the
+/// scenarios modify it.
 PolicyPlan standardPlan(const BundlePtr &Under, std::uint64_t Seed);
 
-/// Names of the scenarios, in the order of the table.
+/// \return Names of the scenarios, in the order of the table.
 std::vector<std::string> scenarioNames();
 
-/// Makes a scenario's plan.
+/// \return The plan of the scenario \p Name.
 /// \throws Error UsageError when there is no scenario of that name.
 PolicyPlan scenarioPlan(const std::string &Name, const BundlePtr &Under,
                         std::uint64_t Seed);
--- a/src/bench/policy_scenarios.cpp
+++ b/src/bench/policy_scenarios.cpp
@@ -9,7 +9,7 @@
 
 static constexpr TimePoint FaultStart{std::chrono::seconds(5)};
 static constexpr TimePoint FaultEnd{std::chrono::seconds(15)};
-static constexpr double UsualLoad = 0.7;
+static constexpr double DefaultLoad = 0.7;
 static constexpr int WaveSize = 50;
 static constexpr double WaveFactor = 10;
 
@@ -18,10 +18,10 @@
   Plan.Under = Under;
   Plan.Seed = Seed;
   for (const PoolSpec &Pool : Under->Pools) {
-    ModelShape Shape;
+    ModelBehaviour Behaviour;
     if (Pool.Kind == PoolKind::Engine)
-      Shape.BaseMs = 10;
-    Plan.Shapes[Pool.Name] = Shape;
+      Behaviour.BaseMs = 10;
+    Plan.Behaviours[Pool.Name] = Behaviour;
   }
   for (const OrganisationSpec &O : Under->Organisations) {
     for (const std::string &Pipeline : O.Pipelines)
@@ -30,23 +30,23 @@
   return Plan;
 }
 
-static PolicyPlan loaded(const BundlePtr &Under, std::uint64_t Seed,
-                         double Load) {
+static PolicyPlan planAtLoad(const BundlePtr &Under, std::uint64_t Seed,
+                             double Load) {
   PolicyPlan Plan = standardPlan(Under, Seed);
   scaleLoad(Plan, Load);
   return Plan;
 }
 
-/// Calls \p Fn for every upstream of a pool.
+/// Calls \p F for every upstream of a pool.
 template <typename Fn>
-static void forPool(PolicyWorld &W, const std::string &Pool, Fn F) {
+static void forEachInPool(PolicyWorld &W, const std::string &Pool, Fn F) {
   for (ModelUpstream &U : W.Upstreams) {
     if (U.Pool == Pool)
       F(U);
   }
 }
 
-static ModelUpstream &firstOf(PolicyWorld &W, const std::string &Pool) {
+static ModelUpstream &firstUpstream(PolicyWorld &W, const std::string &Pool) {
   for (ModelUpstream &U : W.Upstreams) {
     if (U.Pool == Pool)
       return U;
@@ -54,23 +54,25 @@
   throw Error(ResultCode::UsageError, "no such pool: " + Pool);
 }
 
-static void oneSlow(PolicyPlan &Plan) {
-  Plan.Faults.push_back(
-      {FaultStart, [](PolicyWorld &W) { firstOf(W, "engines").Slow = 10; }});
-}
-
-static void poolDead(PolicyPlan &Plan) {
+static void slowUpstream(PolicyPlan &Plan) {
   Plan.Faults.push_back({FaultStart, [](PolicyWorld &W) {
-                           forPool(W, "rerankers",
-                                   [](ModelUpstream &U) { U.Dead = true; });
+                           firstUpstream(W, "engines").Slow = 10;
                          }});
+}
+
+static void deadPool(PolicyPlan &Plan) {
+  Plan.Faults.push_back(
+      {FaultStart, [](PolicyWorld &W) {
+         forEachInPool(W, "rerankers", [](ModelUpstream &U) { U.Dead = true; });
+       }});
   Plan.Faults.push_back({FaultEnd, [](PolicyWorld &W) {
-                           forPool(W, "rerankers",
-                                   [](ModelUpstream &U) { U.Dead = false; });
+                           forEachInPool(W, "rerankers", [](ModelUpstream &U) {
+                             U.Dead = false;
+                           });
                          }});
 }
 
-static void failing(PolicyPlan &Plan) {
+static void failingCalls(PolicyPlan &Plan) {
   Plan.Faults.push_back({FaultStart, [](PolicyWorld &W) {
                            for (ModelUpstream &U : W.Upstreams) {
                              U.Fail = 0.02;
@@ -85,25 +87,26 @@
   Plan.Faults.push_back({FaultEnd, [](PolicyWorld &W) { W.KvOutage = false; }});
 }
 
-static void leaving(PolicyPlan &Plan) {
+static void leavingUpstream(PolicyPlan &Plan) {
   Plan.Faults.push_back({FaultStart, [](PolicyWorld &W) {
-                           ModelUpstream &U = firstOf(W, "engines");
+                           ModelUpstream &U = firstUpstream(W, "engines");
                            U.Leaving = true;
                            W.Seen.Leaving.push_back({U.Address, W.Now});
                          }});
 }
 
-static void bursts(PolicyPlan &Plan) {
+static void burstLoad(PolicyPlan &Plan) {
   for (ModelSource &Source : Plan.Sources)
     Source.BurstFactor = 4;
-  scaleLoad(Plan, UsualLoad);
+  scaleLoad(Plan, DefaultLoad);
 }
 
-/// Fifty new organisations, together ten times the load of the old ones.
+/// Fifty new organisations, whose total load is ten times that of the
+/// established ones.
 static void takeoverWave(PolicyPlan &Plan) {
-  auto Wider = std::make_shared<Bundle>(*Plan.Under);
+  auto Extended = std::make_shared<Bundle>(*Plan.Under);
   auto Batch = std::find_if(
-      Wider->Pipelines.begin(), Wider->Pipelines.end(),
+      Extended->Pipelines.begin(), Extended->Pipelines.end(),
       [](const auto &P) { return P.Class == PipelineClass::Batch; });
   double Established = 0;
   for (const ModelSource &Source : Plan.Sources)
@@ -113,18 +116,18 @@
     New.Name = "wave-" + std::to_string(100 + I);
     New.Group = OrganisationGroup::New;
     New.Pipelines = {Batch->Name};
-    Wider->Organisations.push_back(New);
+    Extended->Organisations.push_back(New);
     Plan.Sources.push_back({New.Name, Batch->Name,
                             Established * WaveFactor / WaveSize, FaultStart});
   }
-  std::sort(Wider->Organisations.begin(), Wider->Organisations.end(),
+  std::sort(Extended->Organisations.begin(), Extended->Organisations.end(),
             [](const auto &A, const auto &B) { return A.Name < B.Name; });
-  Plan.Under = Wider;
+  Plan.Under = Extended;
 }
 
-/// Adds more load of one class for some of the time.
-static void addWindow(PolicyPlan &Plan, PipelineClass Class, double Factor,
-                      TimePoint From, TimePoint Until) {
+/// Multiplies the load of one class by \p Factor from \p From to \p Until.
+static void addLoadWindow(PolicyPlan &Plan, PipelineClass Class, double Factor,
+                          TimePoint From, TimePoint Until) {
   std::vector<ModelSource> More;
   for (const ModelSource &Source : Plan.Sources) {
     const auto *Pipeline = Bundle::find(Plan.Under->Pipelines, Source.Pipeline);
@@ -138,30 +141,31 @@
   Plan.Sources.insert(Plan.Sources.end(), More.begin(), More.end());
 }
 
-/// Batch statements come at four times their rate for half of the run.
+/// Batch requests arrive at four times their rate for half of the run.
 static void monthEnd(PolicyPlan &Plan) {
-  addWindow(Plan, PipelineClass::Batch, 4, FaultStart, FaultEnd);
+  addLoadWindow(Plan, PipelineClass::Batch, 4, FaultStart, FaultEnd);
 }
 
-/// Everybody looks at the same time: interactive at eight times its rate.
+/// All users log in at the same time: interactive requests arrive at eight
+/// times their rate.
 static void dawn(PolicyPlan &Plan) {
   static constexpr TimePoint DawnEnd{std::chrono::seconds(9)};
-  addWindow(Plan, PipelineClass::Interactive, 8, FaultStart, DawnEnd);
+  addLoadWindow(Plan, PipelineClass::Interactive, 8, FaultStart, DawnEnd);
 }
 
-/// As many nodes as a site has today, which know nothing of each other's calls.
+/// As many nodes as a site has today; none knows of the calls of the others.
 static void eightNodes(PolicyPlan &Plan) { Plan.Nodes = 8; }
 
-static void eightNodesSlow(PolicyPlan &Plan) {
+static void eightNodesSlowUpstream(PolicyPlan &Plan) {
   eightNodes(Plan);
-  oneSlow(Plan);
+  slowUpstream(Plan);
 }
 
-/// One experiment of the table.
+/// One row of the table of experiments.
 struct Scenario {
-  const char *Name;             ///< In the table.
-  double Load;                  ///< Of the fullest pool.
-  void (*Change)(PolicyPlan &); ///< What is special; may be null.
+  const char *Name; ///< Name in the table.
+  double Load;      ///< Offered load of the bottleneck pool, 1 is its capacity.
+  void (*Change)(PolicyPlan &); ///< Modifies the plan; may be null.
 };
 
 static constexpr Scenario Scenarios[] = {
@@ -170,18 +174,18 @@
     {"load-1.2", 1.2, nullptr},
     {"load-2", 2, nullptr},
     {"load-4", 4, nullptr},
-    {"bursts", UsualLoad, bursts},
-    {"month-end", UsualLoad, monthEnd},
-    {"dawn", UsualLoad, dawn},
-    {"slow-upstream", UsualLoad, oneSlow},
-    {"dead-pool", UsualLoad, poolDead},
-    {"failing", UsualLoad, failing},
+    {"bursts", DefaultLoad, burstLoad},
+    {"month-end", DefaultLoad, monthEnd},
+    {"dawn", DefaultLoad, dawn},
+    {"slow-upstream", DefaultLoad, slowUpstream},
+    {"dead-pool", DefaultLoad, deadPool},
+    {"failing", DefaultLoad, failingCalls},
     {"takeover-wave", 0.6, takeoverWave},
-    {"kv-outage", UsualLoad, kvOutage},
-    {"leaving", UsualLoad, leaving},
+    {"kv-outage", DefaultLoad, kvOutage},
+    {"leaving", DefaultLoad, leavingUpstream},
     {"nodes8-0.9", 0.9, eightNodes},
     {"nodes8-2", 2, eightNodes},
-    {"nodes8-slow", UsualLoad, eightNodesSlow},
+    {"nodes8-slow", DefaultLoad, eightNodesSlowUpstream},
 };
 
 std::vector<std::string> scenarioNames() {
@@ -196,7 +200,7 @@
   for (const Scenario &S : Scenarios) {
     if (Name != S.Name)
       continue;
-    PolicyPlan Plan = loaded(Under, Seed, S.Load);
+    PolicyPlan Plan = planAtLoad(Under, Seed, S.Load);
     Plan.Name = Name;
     if (S.Change)
       S.Change(Plan);
