--- a/src/bench/history.cpp
+++ b/src/bench/history.cpp
@@ -1,4 +1,4 @@
-/// \file history.cpp Checks a history against the promises.
+/// \file history.cpp Checks a history against the service's guarantees.
 #include "bench/history_func.h"
 
 #include "result_func.h"
@@ -7,14 +7,14 @@
 
 static constexpr std::size_t MaxDetails = 10;
 
-/// All that belongs to one request id.
+/// The part of the history that belongs to one request id.
 struct IdHistory {
-  std::vector<const CallerEvent *> Tries;         ///< By the caller.
-  std::vector<const ExecutionEvent *> Executions; ///< At upstreams.
+  std::vector<const CallerEvent *> Tries;         ///< Tries by the caller.
+  std::vector<const ExecutionEvent *> Executions; ///< Executions at upstreams.
 };
 
-static void note(Violations &V, std::size_t &Count, const std::string &What,
-                 const std::string &Id) {
+static void addViolation(Violations &V, std::size_t &Count,
+                         const std::string &What, const std::string &Id) {
   ++Count;
   if (V.Details.size() < MaxDetails)
     V.Details.push_back(What + ": request " + Id);
@@ -33,12 +33,12 @@
   }
   for (const auto &[Stage, Count] : Effects) {
     if (Count > 1)
-      note(V, V.Doubled, "stage " + Stage + " ran twice", Id);
+      addViolation(V, V.Doubled, "stage " + Stage + " ran twice", Id);
   }
 }
 
-/// Whether \p At lies within a try that does not claim "not run".
-static bool explained(const IdHistory &All, TimePoint At) {
+/// \return Whether \p At lies within a try that was not answered "not run".
+static bool withinOtherTry(const IdHistory &All, TimePoint At) {
   for (const CallerEvent *Try : All.Tries) {
     if (Try->Code != 0 && familyOf(*Try) == ResultFamily::NotRun)
       continue;
@@ -58,9 +58,9 @@
   if (!SaidNotRun)
     return;
   for (const ExecutionEvent *E : All.Executions) {
-    if (explained(All, E->At))
+    if (withinOtherTry(All, E->At))
       continue;
-    note(V, V.FalseNotRun, "told not run, ran " + E->Stage, Id);
+    addViolation(V, V.FalseNotRun, "told not run, ran " + E->Stage, Id);
     return;
   }
 }
@@ -79,16 +79,17 @@
     return;
   if (Try.Code == 0) {
     if (!Try.NodeLost)
-      note(V, V.Lost, "no answer", Try.RequestId);
+      addViolation(V, V.Lost, "no answer", Try.RequestId);
     return;
   }
   bool Complete = Try.Code == resultNumber(ResultCode::Complete);
   if (Complete && Try.Output != Try.Expected)
-    note(V, V.Misdelivered, "answer is not its own or not whole",
-         Try.RequestId);
+    addViolation(V, V.Misdelivered, "answer is not its own or not whole",
+                 Try.RequestId);
   bool Effect = effectHappened(All);
   if (OnlyTry && familyOf(Try) == ResultFamily::Failed && Effect)
-    note(V, V.FalseFailed, "told failed, effect happened", Try.RequestId);
+    addViolation(V, V.FalseFailed, "told failed, effect happened",
+                 Try.RequestId);
 }
 
 /// Pipelines with a non-idempotent stage, as seen in the executions.
@@ -109,8 +110,8 @@
   for (const LeavingEvent &Mark : H.Leaving) {
     for (const ExecutionEvent &E : H.Executions) {
       if (E.Upstream == Mark.Upstream && E.At > Mark.At + LeavingGrace)
-        note(V, V.AfterLeaving, "new work to leaving " + E.Upstream,
-             E.RequestId);
+        addViolation(V, V.AfterLeaving, "new work to leaving " + E.Upstream,
+                     E.RequestId);
     }
   }
 }
@@ -131,7 +132,7 @@
       checkTry(*Try, All, OnlyTry, V);
       bool Complete = Try->Code == resultNumber(ResultCode::Complete);
       if (Complete && HasEffect[Try->Pipeline] && !effectHappened(All))
-        note(V, V.FalseComplete, "told complete, effect missing", Id);
+        addViolation(V, V.FalseComplete, "told complete, effect missing", Id);
     }
   }
   checkLeaving(H, V);
--- a/src/bench/history_base.h
+++ b/src/bench/history_base.h
@@ -1,4 +1,4 @@
-/// \file history_base.h What callers and upstreams saw in a run.
+/// \file history_base.h Record of a run, as callers and upstreams saw it.
 #ifndef FULMARSTEP_HISTORY_BASE_H
 #define FULMARSTEP_HISTORY_BASE_H
 
@@ -14,56 +14,56 @@
 /// One try of a request, as its caller saw it.
 struct CallerEvent {
   std::string RequestId;    ///< The same for all tries of a request.
-  std::string Organisation; ///< Who asked.
-  std::string Pipeline;     ///< What for.
-  PipelineClass Class = PipelineClass::Interactive; ///< Urgency.
-  TimePoint Due{};                                  ///< When it was to be sent.
-  TimePoint Sent{};                                 ///< When it was sent.
-  TimePoint Answered{};    ///< When its answer was whole; zero: never.
-  Duration Deadline{};     ///< What it asked for.
+  std::string Organisation; ///< Organisation that sent it.
+  std::string Pipeline;     ///< Pipeline that it asked for.
+  PipelineClass Class = PipelineClass::Interactive; ///< Class of the pipeline.
+  TimePoint Due{};                                  ///< Scheduled send time.
+  TimePoint Sent{};                                 ///< Actual send time.
+  TimePoint Answered{};    ///< When the response was complete; zero: never.
+  Duration Deadline{};     ///< Deadline of the pipeline.
   int Code = 0;            ///< Result code; 0: no answer.
   bool NodeLost = false;   ///< The connection broke, as when a node dies.
   bool Left = false;       ///< The caller closed early, on purpose.
-  std::string Output;      ///< The answer.
-  std::string Expected;    ///< The only right answer.
-  double FirstTokenMs = 0; ///< From sending; 0: none.
+  std::string Output;      ///< Output of the response.
+  std::string Expected;    ///< The only correct output.
+  double FirstTokenMs = 0; ///< From sending to the first token, ms; 0: none.
 };
 
 /// One execution, as an upstream saw it.
 struct ExecutionEvent {
-  std::string RequestId;  ///< As sent along.
-  std::string Stage;      ///< Which stage.
-  std::string Upstream;   ///< Where.
+  std::string RequestId;  ///< Request id sent with the call.
+  std::string Stage;      ///< Name of the stage.
+  std::string Upstream;   ///< Address, IP:PORT.
   TimePoint At{};         ///< When it began.
-  bool Ended = false;     ///< It ran to its end.
-  bool Idempotent = true; ///< Whether it may run twice.
+  bool Ended = false;     ///< It ran to completion.
+  bool Idempotent = true; ///< Whether the stage may run more than once.
 };
 
 /// An upstream that was marked as leaving.
 struct LeavingEvent {
-  std::string Upstream; ///< Which.
+  std::string Upstream; ///< Address, IP:PORT.
   TimePoint At{};       ///< When it was marked.
 };
 
-/// Everything that was seen.
+/// The record of a whole run.
 struct History {
-  std::vector<CallerEvent> Callers;       ///< Tries.
-  std::vector<ExecutionEvent> Executions; ///< Executions.
-  std::vector<LeavingEvent> Leaving;      ///< Marks.
+  std::vector<CallerEvent> Callers;       ///< Tries of all requests.
+  std::vector<ExecutionEvent> Executions; ///< Executions at all upstreams.
+  std::vector<LeavingEvent> Leaving; ///< Upstreams that were marked as leaving.
 };
 
-/// Broken promises; all zero in a good run.
+/// Counts of violated guarantees; all zero in a correct run.
 struct Violations {
-  std::size_t Lost = 0;             ///< No answer although the node lived.
-  std::size_t Doubled = 0;          ///< Non-idempotent executions above one.
-  std::size_t Misdelivered = 0;     ///< An answer that is not the right one.
-  std::size_t FalseNotRun = 0;      ///< "Not run", and yet it ran.
-  std::size_t FalseFailed = 0;      ///< "Failed", and yet the effect happened.
-  std::size_t FalseComplete = 0;    ///< "Complete", and the effect is missing.
-  std::size_t AfterLeaving = 0;     ///< New work to a leaving upstream.
-  std::vector<std::string> Details; ///< The first few, for people.
+  std::size_t Lost = 0; ///< Tries without an answer although the node was up.
+  std::size_t Doubled = 0; ///< Non-idempotent stages that ran more than once.
+  std::size_t Misdelivered = 0; ///< Answers that are not the expected output.
+  std::size_t FalseNotRun = 0;  ///< Answered "not run", but a stage ran.
+  std::size_t FalseFailed = 0;  ///< Answered "failed", but the effect happened.
+  std::size_t FalseComplete = 0;    ///< Answered "complete", effect missing.
+  std::size_t AfterLeaving = 0;     ///< Executions later than LeavingGrace.
+  std::vector<std::string> Details; ///< Descriptions of the first violations.
 
-  /// \return Their sum.
+  /// \return The sum of all counts.
   std::size_t total() const {
     return Lost + Doubled + Misdelivered + FalseNotRun + FalseFailed +
            FalseComplete + AfterLeaving;
--- a/src/bench/history_func.h
+++ b/src/bench/history_func.h
@@ -1,4 +1,4 @@
-/// \file history_func.h Checks a history against the promises.
+/// \file history_func.h Checks a history against the service's guarantees.
 #ifndef FULMARSTEP_HISTORY_FUNC_H
 #define FULMARSTEP_HISTORY_FUNC_H
 
@@ -9,10 +9,10 @@
 /// A leaving upstream may still get new work for this long.
 inline constexpr Duration LeavingGrace = std::chrono::seconds(3);
 
-/// Compares what callers were told with what upstreams did.
+/// Compares the answers that callers received with the executions at upstreams.
 Violations checkHistory(const History &H);
 
-/// Writes the counts on one line.
+/// Formats the counts on one line.
 std::string formatViolations(const Violations &V);
 
 } // namespace fulmar
--- a/tests/test_history.cpp
+++ b/tests/test_history.cpp
@@ -1,4 +1,5 @@
-// The checker itself: each promise is broken on purpose once.
+// Tests the history checker: each guarantee is violated once, and the checker
+// must report it.
 #include "bench/history_func.h"
 
 using namespace fulmar;
@@ -6,7 +7,7 @@
 
 static TimePoint at(int Ms) { return TimePoint(std::chrono::milliseconds(Ms)); }
 
-static History goodHistory() {
+static History validHistory() {
   History H;
   CallerEvent Try;
   Try.RequestId = "r";
@@ -23,19 +24,19 @@
   return H;
 }
 
-SCENARIO("a good history is found good, and each broken one broken") {
-  History H = goodHistory();
+SCENARIO("a correct history passes, and each violated guarantee is reported") {
+  History H = validHistory();
   CHECK(checkHistory(H).total() == 0);
-  SECTION("an answer that never came is lost") {
+  SECTION("a missing answer counts as lost") {
     H.Callers[0].Code = 0;
     CHECK(checkHistory(H).Lost == 1);
   }
-  SECTION("unless its node died, which its caller saw") {
+  SECTION("a missing answer is no violation if the caller saw its node die") {
     H.Callers[0].Code = 0;
     H.Callers[0].NodeLost = true;
     CHECK(checkHistory(H).total() == 0);
   }
-  SECTION("an effect that happened twice is doubled") {
+  SECTION("an effect that happened twice counts as doubled") {
     H.Executions.push_back(H.Executions[1]);
     CHECK(checkHistory(H).Doubled == 1);
   }
@@ -43,15 +44,17 @@
     H.Executions.push_back(H.Executions[0]);
     CHECK(checkHistory(H).total() == 0);
   }
-  SECTION("another's answer, or a part of one, is misdelivered") {
+  SECTION(
+      "another request's answer, or a part of one, counts as misdelivered") {
     H.Callers[0].Output = "y";
     CHECK(checkHistory(H).Misdelivered == 1);
   }
-  SECTION("not run, and yet it ran") {
+  SECTION("answered not run, but a stage ran") {
     H.Callers[0].Code = 2021;
     CHECK(checkHistory(H).FalseNotRun == 1);
   }
-  SECTION("not run at first, and run by a second try, is true") {
+  SECTION(
+      "answered not run at first, then run by a second try, is no violation") {
     CallerEvent First = H.Callers[0];
     First.Code = 2030;
     First.Sent = at(1);
@@ -59,18 +62,18 @@
     H.Callers.push_back(First);
     CHECK(checkHistory(H).total() == 0);
   }
-  SECTION("failed, and yet the effect happened") {
+  SECTION("answered failed, but the effect happened") {
     H.Callers[0].Code = 3000;
     CHECK(checkHistory(H).FalseFailed == 1);
   }
-  SECTION("complete without its effect") {
-    History Two = goodHistory();
+  SECTION("answered complete, but the effect is missing") {
+    History Two = validHistory();
     CallerEvent Other = Two.Callers[0];
     Other.RequestId = "q";
     Two.Callers.push_back(Other);
     CHECK(checkHistory(Two).FalseComplete == 1);
   }
-  SECTION("new work to a leaving upstream, after its grace") {
+  SECTION("new work to a leaving upstream after the grace period") {
     H.Leaving.push_back({"b:1", at(0)});
     CHECK(checkHistory(H).total() == 0);
     H.Executions.push_back({"q", "encode", "b:1", at(3100), true, true});
