--- a/src/bench/direct.cpp
+++ b/src/bench/direct.cpp
@@ -1,4 +1,5 @@
-/// \file direct.cpp The same calls without a node, as a baseline.
+/// \file direct.cpp The stage calls of a pipeline without a node, as a
+/// baseline.
 #include "bench/direct.h"
 
 #include <cmath>
@@ -18,14 +19,14 @@
   schedule();
 }
 
-bool DirectRun::done() const { return Timers.now() >= End && Waiting == 0; }
+bool DirectRun::done() const { return Timers.now() >= End && InFlight == 0; }
 
 void DirectRun::schedule() {
   double Seconds = -std::log(1 - randomUnit(Rng)) / Rate;
   Timers.after(fromMs(Seconds * 1e3), [this] {
     if (Timers.now() >= End)
       return;
-    ++Waiting;
+    ++InFlight;
     callStage(0, "input", Timers.now());
     schedule();
   });
@@ -45,8 +46,8 @@
     auto Root = parseJson(Answer.Body, JsonDialect::Strict, Wrong);
     if (Root && Stage + 1 < Stages.size())
       return callStage(Stage + 1, Root->text("output"), Due);
-    --Waiting;
-    Times.push_back(toMs(Timers.now() - Due));
+    --InFlight;
+    Latencies.push_back(toMs(Timers.now() - Due));
   };
   Client.start(std::move(Call), std::move(On));
 }
--- a/src/bench/direct.h
+++ b/src/bench/direct.h
@@ -1,4 +1,5 @@
-/// \file direct.h The same calls without a node, as a baseline.
+/// \file direct.h The stage calls of a pipeline without a node, as a
+/// baseline.
 #ifndef FULMARSTEP_DIRECT_H
 #define FULMARSTEP_DIRECT_H
 
@@ -7,7 +8,7 @@
 
 namespace fulmar {
 
-/// Calls stand-ins of stages one after the other, as a caller without a node
+/// Calls the stand-ins of the stages in sequence, as a caller without a node
 /// would have to.
 class DirectRun {
 public:
@@ -16,26 +17,26 @@
             std::vector<std::string> Stages, double Rate, Duration Length,
             std::uint64_t Seed);
 
-  /// Begins to send.
+  /// Starts sending.
   void start();
-  /// \return Whether everything was sent and answered.
+  /// \return Whether sending has ended and no chain is in flight.
   bool done() const;
-  /// \return Times of whole chains, in ms, from when each was due.
-  const std::vector<double> &latencies() const { return Times; }
+  /// \return Latencies of whole chains, in ms, from the scheduled send time.
+  const std::vector<double> &latencies() const { return Latencies; }
 
 private:
   void schedule();
   void callStage(std::size_t Stage, const std::string &Input, TimePoint Due);
 
-  TimerService &Timers;            ///< Time.
-  HttpClient Client;               ///< Makes the calls.
-  std::vector<std::string> Stages; ///< Addresses.
-  double Rate;                     ///< Chains a second, Poisson.
-  Duration Length;                 ///< Of sending.
-  Random Rng;                      ///< Arrivals.
-  TimePoint End{};                 ///< No new ones from then on.
-  std::size_t Waiting = 0;         ///< Unanswered.
-  std::vector<double> Times;       ///< Of whole chains, ms.
+  TimerService &Timers;            ///< Clock and timers.
+  HttpClient Client;               ///< Sends the calls.
+  std::vector<std::string> Stages; ///< Addresses, one for each stage.
+  double Rate;                     ///< Chains per second, Poisson.
+  Duration Length;                 ///< Sending time.
+  Random Rng;                      ///< Draws the arrivals.
+  TimePoint End{};                 ///< When sending ends.
+  std::size_t InFlight = 0;        ///< Chains in flight.
+  std::vector<double> Latencies;   ///< Latencies of whole chains, in ms.
 };
 
 } // namespace fulmar
--- a/src/bench/policy.cpp
+++ b/src/bench/policy.cpp
@@ -93,7 +93,7 @@
 }
 
 /// Generates the next token of a call; all calls of an engine share its
-/// capacity.
+/// decoding steps.
 static void stepToken(PolicyWorld &W, std::size_t Node, AttemptId Id) {
   auto Found = W.Calls.find({Node, Id});
   if (Found == W.Calls.end())
@@ -187,7 +187,7 @@
   if (Found == W.Calls.end())
     return;
   ModelCall &Call = Found->second;
-  // A plain service completes a call that it has started; engines stop.
+  // A plain service completes a call that it has started; others stop.
   if (Call.Action.Kind == PoolKind::Plain && Call.Started) {
     Call.Cancelled = true;
     return;
--- a/src/bench/policy_base.h
+++ b/src/bench/policy_base.h
@@ -31,8 +31,7 @@
   double Slow = 1;          ///< Factor on all service times.
   bool Dead = false;        ///< Refuses connections.
   double Fail = 0;          ///< Share of calls answered with an error, 0 to 1.
-  double CutAfter =
-      0; ///< Share of calls that run and whose response is lost, 0 to 1.
+  double CutAfter = 0;  ///< Share of calls that run, then lose the response.
   bool Leaving = false; ///< The host list marks it as leaving.
   int Active = 0;       ///< Calls being served.
   std::list<std::pair<std::size_t, AttemptId>>
@@ -46,8 +45,7 @@
   double Rate = 0;                    ///< Mean rate in requests/s, Poisson.
   TimePoint From{};                   ///< Start of the load.
   TimePoint Until = TimePoint::max(); ///< End of the load.
-  double BurstFactor =
-      1; ///< Factor on Rate in bursts, which last one second in five.
+  double BurstFactor = 1; ///< Factor on Rate in bursts, one second in five.
 };
 
 /// A fault that is injected at a set time.
@@ -64,12 +62,11 @@
       Behaviours;                   ///< Behaviour of the upstreams, by pool.
   std::vector<ModelSource> Sources; ///< Sources of the load.
   std::vector<ModelFault> Faults;   ///< Faults to inject.
-  Duration Length =
-      std::chrono::seconds(20); ///< Time during which requests are sent.
-  std::size_t Nodes = 1;        ///< Number of routers that share the upstreams.
-  double ClaimMs = 8;           ///< Time to answer a claim, in ms.
-  std::uint64_t Seed = 1;       ///< Seed of all random generators.
-  RouterPolicy Policy;          ///< Router policy under test.
+  Duration Length = std::chrono::seconds(20); ///< Sending time.
+  std::size_t Nodes = 1;  ///< Number of routers that share the upstreams.
+  double ClaimMs = 8;     ///< Time to answer a claim, in ms.
+  std::uint64_t Seed = 1; ///< Seed of all random generators.
+  RouterPolicy Policy;    ///< Router policy under test.
 };
 
 /// A call in flight to a simulated upstream.
@@ -99,15 +96,14 @@
   std::map<std::pair<std::size_t, RequestSerial>, std::size_t>
       EventIndices; ///< Index in Seen.Callers of each request, by node and
                     ///< serial.
-  std::map<std::string, int> Claims; ///< Number of claims held, by request id.
-  bool KvOutage =
-      false;    ///< The key-value service is down: claims get Unavailable.
-  History Seen; ///< Record of callers and upstreams, for the checker.
+  std::map<std::string, int>
+      Claims;             ///< Claims since the last release, by request.
+  bool KvOutage = false;  ///< No key-value service: claims fail.
+  History Seen;           ///< Record of callers and upstreams, for the checker.
   Metrics RequestMetrics; ///< Request metrics, over all nodes.
   double BusyMs = 0;      ///< Upstream time of all ended requests, in ms.
-  double LostBusyMs =
-      0; ///< Upstream time of ended requests that did not complete, in ms.
-  std::uint64_t LastId = 0; ///< Number of the latest request id.
+  double LostBusyMs = 0;  ///< The part of it for incomplete requests, in ms.
+  std::uint64_t LastId = 0; ///< Number in the latest request id.
 };
 
 /// Results of a simulation run.
@@ -116,16 +112,13 @@
   std::map<std::string, double>
       OnTimeByOrganisation; ///< On-time share, by organisation.
   std::map<std::string, std::size_t>
-      RequestsByOrganisation; ///< Requests sent, by organisation.
-  double OnTimeEstablished =
-      0; ///< On-time share of the requests of established organisations.
+      RequestsByOrganisation;   ///< Requests sent, by organisation.
+  double OnTimeEstablished = 0; ///< On-time share of established ones.
   double Goodput = 0; ///< On-time work of the bottleneck pool, as a share of
                       ///< the pool's capacity.
   double Amplification = 0; ///< Attempts per stage call needed.
-  double WastedShare =
-      0; ///< Share of busy time spent on attempts whose result was not used.
-  double LostShare =
-      0; ///< Share of busy time spent on requests that did not complete.
+  double WastedShare = 0;   ///< Busy-time share of attempts that did not count.
+  double LostShare = 0;     ///< Busy-time share of incomplete requests.
   double P50Ms = 0;         ///< Median latency of complete answers, in ms.
   double P99Ms = 0;         ///< 99th percentile of the same, in ms.
   std::size_t Requests = 0; ///< Requests sent.
--- a/src/bench/policy_scenarios.cpp
+++ b/src/bench/policy_scenarios.cpp
@@ -146,7 +146,7 @@
   addLoadWindow(Plan, PipelineClass::Batch, 4, FaultStart, FaultEnd);
 }
 
-/// All users log in at the same time: interactive requests arrive at eight
+/// All users are active at the same time: interactive requests arrive at eight
 /// times their rate.
 static void dawn(PolicyPlan &Plan) {
   static constexpr TimePoint DawnEnd{std::chrono::seconds(9)};
