--- a/src/bench/pace_model.cpp
+++ b/src/bench/pace_model.cpp
@@ -1,5 +1,5 @@
-/// \file pace_model.cpp Ways in which all nodes together keep a limit of one
-/// upstream, in virtual time.
+/// \file pace_model.cpp Simulates, in virtual time, strategies by which a
+/// fleet keeps the rate limit of one upstream.
 #include "bench/pace_model.h"
 
 #include <algorithm>
@@ -14,11 +14,12 @@
 
 static constexpr EnumNames<PaceWay> WayNames = {
     "none", "alone", "saved", "asked", "random turns", "turns", "lent"};
-/// Of the rule that the limit comes with.
+/// The rule that comes with the limit: a window may hold Overage times the
+/// limit plus Slack sends.
 static constexpr double Overage = 1.5;
 static constexpr double Slack = 5;
-/// Part of the limit that a node hands out which is asked.
-static constexpr double AskedShare = 0.9;
+/// Share of the limit that the granting node hands out.
+static constexpr double GrantedShare = 0.9;
 
 std::string_view paceWayName(PaceWay Way) { return nameIn(WayNames, Way); }
 
@@ -26,48 +27,48 @@
 
 /// One node.
 struct PaceNode {
-  SendPace Pace;        ///< Its turns, or its share.
-  TimePoint Next{};     ///< A share that is saved up can be used from then on.
-  std::size_t Asks = 0; ///< Whom it asks.
+  SendPace Pace;           ///< Its turns or its share of the limit.
+  TimePoint Next{};        ///< With Saved or Alone: earliest next send.
+  std::size_t Granter = 0; ///< Index of the node that it asks for grants.
 };
 
-/// A fleet in virtual time.
+/// A simulated fleet.
 class PaceModel {
 public:
   PaceModel(const PacePlan &P, PaceWay W)
       : Plan(P), Way(W), Rng(P.Seed), Nodes(static_cast<std::size_t>(P.Nodes)),
-        Granted(Nodes.size()), Now(Begin), Origin(Begin) {
+        NextGrant(Nodes.size()), Now(Begin), Origin(Begin) {
     Origin -= fromMs(1e6 * randomUnit(Rng));
     std::uint64_t Joined = Rng() % 1000;
-    double Believed = std::max(1.0, Plan.Nodes * Plan.Known);
+    double AssumedNodes = std::max(1.0, Plan.Nodes * Plan.Known);
     if (Way == PaceWay::Alone)
-      Believed = 1;
-    PaceTurns Turns = paceTurns(Plan.Limit, Believed, RateLimitTurn);
+      AssumedNodes = 1;
+    PaceTurns Turns = paceTurns(Plan.Limit, AssumedNodes, RateLimitTurn);
     for (PaceNode &Node : Nodes) {
-      bool Even = Way == PaceWay::Turns || Way == PaceWay::Lent;
-      double Phase = Even ? pacePhase(++Joined, 0) : randomUnit(Rng);
+      bool EvenlySpread = Way == PaceWay::Turns || Way == PaceWay::Lent;
+      double Phase = EvenlySpread ? pacePhase(++Joined, 0) : randomUnit(Rng);
       paceSet(Node.Pace, Turns, Phase, Origin);
       Node.Next = Begin + fromMs(toMs(Turns.Interval) * Phase);
-      Node.Asks = firstKnown();
+      Node.Granter = firstKnownNode();
     }
   }
 
   PaceOutcome run() {
-    double Asked = load(Plan.LightPerS, Plan.Light);
+    double Arrivals = runLoad(Plan.LightPerS, Plan.LightLength);
     auto Light = static_cast<double>(Sends);
-    load(Plan.HeavyPerS, Plan.Heavy);
+    runLoad(Plan.HeavyPerS, Plan.HeavyLength);
     auto Heavy = static_cast<double>(Sends) - Light;
-    Out.HeavyUse = Heavy / (Plan.Limit * toMs(Plan.Heavy) / 1e3);
+    Out.HeavyUse = Heavy / (Plan.Limit * toMs(Plan.HeavyLength) / 1e3);
     double Before = Sends;
-    Asked += load(Plan.LightPerS, Plan.Light);
-    Out.LightUse = (Light + Sends - Before) / std::max(1.0, Asked);
+    Arrivals += runLoad(Plan.LightPerS, Plan.LightLength);
+    Out.LightUse = (Light + Sends - Before) / std::max(1.0, Arrivals);
     return Out;
   }
 
 private:
-  /// \return The first node that some node knows; all ask the same one where
-  /// all know each other.
-  std::size_t firstKnown() {
+  /// \return The first node that a node knows; if all nodes know each other,
+  /// all ask the same one.
+  std::size_t firstKnownNode() {
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
       if (randomUnit(Rng) < Plan.Known)
         return I;
@@ -75,20 +76,20 @@
     return 0;
   }
 
-  /// \return Requests that were asked for.
-  double load(double PerSecond, Duration Length) {
-    double Asked = 0;
+  /// Runs one load. \return The number of requests that arrived.
+  double runLoad(double PerSecond, Duration Length) {
+    double Arrivals = 0;
     TimePoint End = Now + Length;
     while (Now < End) {
       Now += fromMs(1e3 / PerSecond * 2 * randomUnit(Rng));
-      ++Asked;
-      if (maySend(Nodes[randomIndex(Rng, Nodes.size())]))
-        sent();
+      ++Arrivals;
+      if (trySend(Nodes[randomIndex(Rng, Nodes.size())]))
+        recordSend();
     }
-    return Asked;
+    return Arrivals;
   }
 
-  bool maySend(PaceNode &Node) {
+  bool trySend(PaceNode &Node) {
     switch (Way) {
     case PaceWay::Saved:
     case PaceWay::Alone:
@@ -97,12 +98,12 @@
       Node.Next = Now + Node.Pace.Turns.Interval;
       return true;
     case PaceWay::Asked:
-      return granted(Node);
+      return requestGrant(Node);
     case PaceWay::RandomTurns:
     case PaceWay::Turns:
-      return paceAllows(Node.Pace, Now) && use(Node);
+      return paceAllows(Node.Pace, Now) && takeTurn(Node);
     case PaceWay::Lent:
-      return paceAllows(Node.Pace, Now) ? use(Node) : lent();
+      return paceAllows(Node.Pace, Now) ? takeTurn(Node) : borrowTurn();
     case PaceWay::None:
     case PaceWay::Count:
     case PaceWay::Invalid:
@@ -111,13 +112,13 @@
     return true;
   }
 
-  bool use(PaceNode &Node) {
+  bool takeTurn(PaceNode &Node) {
     paceSent(Node.Pace, Now);
     return true;
   }
 
-  /// Asks one of the nodes whose turn it is, as far as it is known.
-  bool lent() {
+  /// Borrows the turn of one of the known nodes whose turn it is.
+  bool borrowTurn() {
     std::vector<PaceNode *> Owners;
     for (PaceNode &Other : Nodes) {
       if (randomUnit(Rng) < Plan.Known && paceInTurn(Other.Pace, Now))
@@ -127,48 +128,48 @@
       return false;
     Out.Messages += 2;
     PaceNode &Owner = *Owners[randomIndex(Rng, Owners.size())];
-    return paceAllows(Owner.Pace, Now) && use(Owner);
+    return paceAllows(Owner.Pace, Now) && takeTurn(Owner);
   }
 
-  /// Asks the node that hands out sends. One that has died answers nothing
-  /// until the others see it, and the next one begins anew.
-  bool granted(PaceNode &Node) {
+  /// Asks the granting node for a send. After its death no request is answered
+  /// until the others detect it; the next node then starts without state.
+  bool requestGrant(PaceNode &Node) {
     Out.Messages += 2;
     Duration Since = Now - Begin;
-    std::size_t Whom = Node.Asks;
-    if (Whom == 0 && Since >= Plan.DeadFrom) {
+    std::size_t Target = Node.Granter;
+    if (Target == 0 && Since >= Plan.DeadFrom) {
       if (Since < Plan.DeadFrom + Plan.DeadFor)
         return false;
-      Whom = std::min<std::size_t>(1, Nodes.size() - 1);
+      Target = std::min<std::size_t>(1, Nodes.size() - 1);
     }
-    if (Now < Granted[Whom])
+    if (Now < NextGrant[Target])
       return false;
-    Granted[Whom] = Now + fromMs(1e3 / (Plan.Limit * AskedShare));
+    NextGrant[Target] = Now + fromMs(1e3 / (Plan.Limit * GrantedShare));
     return true;
   }
 
-  void sent() {
+  void recordSend() {
     ++Sends;
-    Latest.push_back(Now);
-    while (Now - Latest.front() > Plan.Window)
-      Latest.pop_front();
-    int Count = static_cast<int>(Latest.size());
+    WindowSends.push_back(Now);
+    while (Now - WindowSends.front() > Plan.Window)
+      WindowSends.pop_front();
+    int Count = static_cast<int>(WindowSends.size());
     Out.Most = std::max(Out.Most, Count);
     double Allowed = Plan.Limit * toMs(Plan.Window) / 1e3 * Overage + Slack;
     Out.Over += Count > Allowed ? 1 : 0;
   }
 
   static constexpr TimePoint Begin{std::chrono::seconds(1000)};
-  const PacePlan &Plan;           ///< What is run.
-  const PaceWay Way;              ///< How the limit is kept.
-  Random Rng;                     ///< Arrivals and choices.
-  std::vector<PaceNode> Nodes;    ///< The fleet.
-  std::vector<TimePoint> Granted; ///< Next send that each node hands out.
-  TimePoint Now;                  ///< Virtual time.
-  TimePoint Origin;               ///< Of the fleet's time.
-  std::deque<TimePoint> Latest;   ///< Sends within the window.
-  int Sends = 0;                  ///< All.
-  PaceOutcome Out;                ///< Result.
+  const PacePlan &Plan;              ///< Fleet and load.
+  const PaceWay Way;                 ///< Strategy under test.
+  Random Rng;                        ///< Draws arrivals and choices.
+  std::vector<PaceNode> Nodes;       ///< The fleet.
+  std::vector<TimePoint> NextGrant;  ///< Earliest next grant of each node.
+  TimePoint Now;                     ///< Virtual time.
+  TimePoint Origin;                  ///< Start of the fleet's clock.
+  std::deque<TimePoint> WindowSends; ///< Times of the sends within the window.
+  int Sends = 0;                     ///< All sends so far.
+  PaceOutcome Out;                   ///< Results so far.
 };
 
 } // namespace
--- a/src/bench/pace_model.h
+++ b/src/bench/pace_model.h
@@ -1,5 +1,5 @@
-/// \file pace_model.h Ways in which all nodes together keep a limit of one
-/// upstream, in virtual time.
+/// \file pace_model.h Simulates, in virtual time, strategies by which a
+/// fleet keeps the rate limit of one upstream.
 #ifndef FULMARSTEP_PACE_MODEL_H
 #define FULMARSTEP_PACE_MODEL_H
 
@@ -10,51 +10,49 @@
 
 namespace fulmar {
 
-/// How a limit is kept.
+/// Strategies to keep a rate limit.
 enum class PaceWay {
-  None,        ///< Nobody keeps it.
-  Alone,       ///< Each node keeps all of it by itself.
-  Saved,       ///< Each node has a share and saves up what it does not send.
-  Asked,       ///< Each send is asked of one node.
-  RandomTurns, ///< Nodes take turns at random moments.
-  Turns,       ///< Nodes take turns at moments that are spread evenly.
-  Lent,        ///< The same, and a node asks for the turn of another.
-  Count,       ///< Number of ways.
-  Invalid,     ///< Not a way.
+  None,        ///< No node keeps the limit.
+  Alone,       ///< Each node keeps the whole limit by itself.
+  Saved,       ///< Each node has a share and saves up unused sends.
+  Asked,       ///< One node grants each send on request.
+  RandomTurns, ///< Nodes take turns at random times.
+  Turns,       ///< Nodes take turns at evenly spread times.
+  Lent,        ///< As Turns, and a node may borrow another's turn.
+  Count,       ///< Number of strategies.
+  Invalid,     ///< Not a strategy.
 };
 
-/// \return The written name of \p Way.
+/// \return The name of \p Way in tables.
 std::string_view paceWayName(PaceWay Way);
 
-/// A fleet before one upstream, and what is asked for there: little, then much,
-/// then little again.
+/// A fleet that calls one upstream, under a light, then a heavy, then again a
+/// light load.
 struct PacePlan {
-  int Nodes = 8;                                 ///< That take requests.
-  double Known = 1;                              ///< Part that each node knows.
-  double Limit = 1;                              ///< Requests a second.
-  double LightPerS = 0.5;                        ///< Asked for at first.
-  double HeavyPerS = 60;                         ///< Asked for later.
-  Duration Light = std::chrono::seconds(60);     ///< At first, and at the end.
-  Duration Heavy = std::chrono::seconds(60);     ///< In between.
-  Duration Window = std::chrono::seconds(4);     ///< In which sends count.
-  Duration Delay = std::chrono::milliseconds(3); ///< Until an ask is answered.
-  Duration DeadFrom = std::chrono::seconds(90); ///< When the node that is asked
-                                                ///< dies.
-  Duration DeadFor = std::chrono::seconds(3);   ///< Until others see it.
-  std::uint64_t Seed = 1;                       ///< Of random choices.
+  int Nodes = 8;          ///< Nodes that receive requests.
+  double Known = 1;       ///< Share of the nodes that each node knows.
+  double Limit = 1;       ///< Rate limit, requests/s.
+  double LightPerS = 0.5; ///< Light load, requests/s.
+  double HeavyPerS = 60;  ///< Heavy load, requests/s.
+  Duration LightLength = std::chrono::seconds(60); ///< Of each light load.
+  Duration HeavyLength = std::chrono::seconds(60); ///< Of the heavy load.
+  Duration Window = std::chrono::seconds(4);     ///< Window that counts sends.
+  Duration Delay = std::chrono::milliseconds(3); ///< Of a node's response.
+  Duration DeadFrom = std::chrono::seconds(90); ///< Death of the granting node.
+  Duration DeadFor = std::chrono::seconds(3);   ///< Until the others detect it.
+  std::uint64_t Seed = 1; ///< Seed of the random generator.
 };
 
-/// What a run came to.
+/// Results of a run.
 struct PaceOutcome {
-  int Most = 0;        ///< Sends within a window.
-  double Over = 0;     ///< Sends that made a window exceed half as much
-                       ///< again and five.
-  double HeavyUse = 0; ///< Part of the limit that was used under load.
-  double LightUse = 0; ///< Part of what was asked for that was sent else.
-  std::uint64_t Messages = 0; ///< Between nodes.
+  int Most = 0;               ///< Highest number of sends within a window.
+  double Over = 0;            ///< Sends whose window exceeded 1.5 * limit + 5.
+  double HeavyUse = 0;        ///< Share of the limit used under heavy load.
+  double LightUse = 0;        ///< Share of the requests sent under light load.
+  std::uint64_t Messages = 0; ///< Messages between nodes.
 };
 
-/// Runs one fleet.
+/// Simulates one fleet.
 PaceOutcome runPacePlan(const PacePlan &Plan, PaceWay Way);
 
 } // namespace fulmar
--- a/src/bench/quarantine_model.cpp
+++ b/src/bench/quarantine_model.cpp
@@ -1,4 +1,5 @@
-/// \file quarantine_model.cpp Requests that crash upstreams, in virtual time.
+/// \file quarantine_model.cpp Simulates requests that crash upstreams, in
+/// virtual time.
 #include "bench/quarantine_model.h"
 
 #include <functional>
@@ -17,15 +18,16 @@
 static constexpr EnumNames<QuarantineSharing> SharingNames = {"none", "alone",
                                                               "all", "judges"};
 static constexpr Fingerprint Deadly{1};
-/// Upstreams that one try may be sent to.
+/// Number of upstreams to which one try may be sent.
 static constexpr int Attempts = 2;
-/// A crash that made the third is known everywhere after this time.
-static constexpr Duration Stable = std::chrono::seconds(4);
-/// As in the service: reminders of what a node holds, and the pause before a
-/// request that was broken off is sent again.
-static constexpr Duration RemindPeriod = std::chrono::seconds(1);
-static constexpr int RemindedNodes = 2;
-static constexpr Duration RetryPause = std::chrono::milliseconds(20);
+/// Time after the third crash until every node knows of it.
+static constexpr Duration SettleTime = std::chrono::seconds(4);
+/// As in the service: the period of re-announcing a node's quarantines, the
+/// number of nodes told, and the delay before an interrupted request is
+/// retried.
+static constexpr Duration ReannouncePeriod = std::chrono::seconds(1);
+static constexpr int ReannounceFanout = 2;
+static constexpr Duration RetryBackoff = std::chrono::milliseconds(20);
 
 std::string_view quarantineSharingName(QuarantineSharing Way) {
   return nameIn(SharingNames, Way);
@@ -33,20 +35,20 @@
 
 namespace {
 
-/// One attempt that is under way.
-struct ModelRun {
-  Fingerprint Content; ///< Of which request.
-  std::size_t Node;    ///< Who sent it.
-  int Attempt;         ///< Which of its try, from 1.
+/// An attempt in flight.
+struct ModelAttempt {
+  Fingerprint Content; ///< Fingerprint of the request.
+  std::size_t Node;    ///< Index of the node that sent it.
+  int Attempt;         ///< Attempt number within its try, from 1.
 };
 
-/// An upstream.
-struct ModelUpstream {
-  TimePoint UpFrom{};                     ///< Down until then.
-  std::map<std::uint64_t, ModelRun> Runs; ///< Under way.
+/// A simulated upstream.
+struct CrashingUpstream {
+  TimePoint UpFrom{}; ///< Time of the next restart; down until then.
+  std::map<std::uint64_t, ModelAttempt> Runs; ///< Attempts in flight, by id.
 };
 
-/// A fleet in virtual time.
+/// A simulated fleet.
 class QuarantineModel {
 public:
   QuarantineModel(const QuarantinePlan &P, QuarantineSharing W)
@@ -59,13 +61,13 @@
   QuarantineOutcome run() {
     arrive(Plan.DeadlyPerS, /*Harmless=*/false);
     arrive(Plan.HarmlessPerS, /*Harmless=*/true);
-    remind();
+    reannounce();
     while (!Queue.empty()) {
       auto Next = Queue.extract(Queue.begin());
       Now = Next.key();
       Next.mapped()();
     }
-    Out.HarmlessHeld = static_cast<int>(Held.size());
+    Out.HarmlessHeld = static_cast<int>(QuarantinedHarmless.size());
     return Out;
   }
 
@@ -74,7 +76,7 @@
     Queue.emplace(Now + In, std::move(Fn));
   }
 
-  /// Lets requests of one kind come, at random moments and nodes.
+  /// Generates requests of one kind at random times and nodes.
   void arrive(double PerS, bool Harmless) {
     constexpr double MsPerS = 1e3;
     at(fromMs(2 * MsPerS / PerS * randomUnit(Rng)), [this, PerS, Harmless] {
@@ -86,9 +88,9 @@
     });
   }
 
-  void send(const ModelRun &Run) {
-    bool Judged = Way != QuarantineSharing::None;
-    if (Judged && quarantineLeft(Nodes[Run.Node], Run.Content, Now)) {
+  void send(const ModelAttempt &Run) {
+    bool UsesQuarantine = Way != QuarantineSharing::None;
+    if (UsesQuarantine && quarantineLeft(Nodes[Run.Node], Run.Content, Now)) {
       Out.HarmlessLost += Run.Content == Deadly ? 0 : 1;
       return;
     }
@@ -101,49 +103,49 @@
       Out.HarmlessLost += Run.Content == Deadly ? 0 : 1;
       return;
     }
-    std::size_t Chosen = Up[randomIndex(Rng, Up.size())];
+    std::size_t Target = Up[randomIndex(Rng, Up.size())];
     std::uint64_t Id = ++LastRun;
-    Upstreams[Chosen].Runs[Id] = Run;
+    Upstreams[Target].Runs[Id] = Run;
     if (Run.Content == Deadly) {
-      bool Late = Third > TimePoint{} && Now > Third + Stable;
+      bool Late = ThirdCrash > TimePoint{} && Now > ThirdCrash + SettleTime;
       Out.SendsAfter += Late ? 1 : 0;
-      return at(Plan.CrashAfter, [this, Chosen, Id] {
-        if (Upstreams[Chosen].Runs.count(Id))
-          crash(Chosen);
+      return at(Plan.CrashAfter, [this, Target, Id] {
+        if (Upstreams[Target].Runs.count(Id))
+          crash(Target);
       });
     }
-    at(Plan.Run, [this, Chosen, Id] { ranWell(Chosen, Id); });
+    at(Plan.Run, [this, Target, Id] { runCompleted(Target, Id); });
   }
 
-  void ranWell(std::size_t Where, std::uint64_t Id) {
-    auto Found = Upstreams[Where].Runs.extract(Id);
+  void runCompleted(std::size_t Index, std::uint64_t Id) {
+    auto Found = Upstreams[Index].Runs.extract(Id);
     if (Found.empty())
       return;
-    ModelRun Run = Found.mapped();
+    ModelAttempt Run = Found.mapped();
     if (quarantineSuccess(Nodes[Run.Node], Run.Content, Now) &&
         quarantineLift(Nodes[Run.Node], Run.Content, Now))
       announce(Run.Node, Run.Content);
   }
 
-  void crash(std::size_t Where) {
+  void crash(std::size_t Index) {
     if (++Out.Crashes == QuarantinePolicy().Crashes)
-      Third = Now;
-    Upstreams[Where].UpFrom = Now + Plan.DownFor;
-    auto Runs = std::exchange(Upstreams[Where].Runs, {});
+      ThirdCrash = Now;
+    Upstreams[Index].UpFrom = Now + Plan.DownFor;
+    auto Runs = std::exchange(Upstreams[Index].Runs, {});
     for (const auto &[Id, Run] : Runs) {
-      report(Run, Where);
+      report(Run, Index);
       if (Run.Attempt == Attempts) {
         Out.HarmlessLost += Run.Content == Deadly ? 0 : 1;
         continue;
       }
-      at(RetryPause, [this, Again = Run] {
+      at(RetryBackoff, [this, Again = Run] {
         send({Again.Content, Again.Node, Again.Attempt + 1});
       });
     }
   }
 
-  void report(const ModelRun &Run, std::size_t Where) {
-    mark(Run.Node, Run.Content, Where);
+  void report(const ModelAttempt &Run, std::size_t Index) {
+    recordCrash(Run.Node, Run.Content, Index);
     if (Way == QuarantineSharing::Alone || Way == QuarantineSharing::None)
       return;
     std::vector<std::string> To = Way == QuarantineSharing::All
@@ -152,20 +154,22 @@
     for (const std::string &Name : To) {
       std::size_t Node = std::stoul(Name);
       if (Node != Run.Node)
-        deliver([this, Node, Run, Where] { mark(Node, Run.Content, Where); });
+        deliver([this, Node, Run, Index] {
+          recordCrash(Node, Run.Content, Index);
+        });
     }
   }
 
-  void mark(std::size_t Node, Fingerprint Content, std::size_t Where) {
-    if (!quarantineCrash(Nodes[Node], Content, Where, Now))
+  void recordCrash(std::size_t Node, Fingerprint Content, std::size_t Index) {
+    if (!quarantineCrash(Nodes[Node], Content, Index, Now))
       return;
     if (Content != Deadly)
-      Held.insert(Content);
+      QuarantinedHarmless.insert(Content);
     if (Way == QuarantineSharing::Judges)
       announce(Node, Content);
   }
 
-  /// Tells all other nodes of a decision.
+  /// Announces a quarantine decision to all other nodes.
   void announce(std::size_t From, Fingerprint Content) {
     QuarantineNotice Notice = quarantineNotice(Nodes[From], Content, Now);
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
@@ -174,20 +178,20 @@
     }
   }
 
-  /// Lets each node that holds something tell some others, as the service does.
-  void remind() {
+  /// Re-announces each node's quarantines to some others, as the service does.
+  void reannounce() {
     if (Way != QuarantineSharing::Judges || Now - TimePoint{} > Plan.Length)
       return;
     for (const Quarantine &Q : Nodes) {
       for (const QuarantineNotice &Notice : quarantineNotices(Q, Now)) {
-        for (int I = 0; I < RemindedNodes; ++I) {
+        for (int I = 0; I < ReannounceFanout; ++I) {
           std::size_t To = randomIndex(Rng, Nodes.size());
           deliver(
               [this, To, Notice] { quarantineTake(Nodes[To], Notice, Now); });
         }
       }
     }
-    at(RemindPeriod, [this] { remind(); });
+    at(ReannouncePeriod, [this] { reannounce(); });
   }
 
   void deliver(std::function<void()> Fn) {
@@ -197,18 +201,20 @@
   }
 
   const QuarantinePlan &Plan; ///< Fleet and load.
-  QuarantineSharing Way;      ///< How nodes share.
-  Random Rng;                 ///< Choices.
-  TimePoint Now{};            ///< Virtual.
-  TimePoint Third{};          ///< Third crash; zero: not yet.
-  std::multimap<TimePoint, std::function<void()>> Queue; ///< Events.
-  std::vector<Quarantine> Nodes;                         ///< Their states.
-  std::vector<std::string> Ids;                          ///< Their names.
-  std::vector<ModelUpstream> Upstreams;                  ///< In no order.
-  std::set<Fingerprint> Held;    ///< Harmless, but quarantined.
-  std::uint64_t LastContent = 1; ///< Counts harmless requests.
-  std::uint64_t LastRun = 0;     ///< Counts attempts.
-  QuarantineOutcome Out;         ///< So far.
+  QuarantineSharing Way;      ///< How nodes share crashes.
+  Random Rng;                 ///< Draws arrivals and choices.
+  TimePoint Now{};            ///< Virtual time.
+  TimePoint ThirdCrash{};     ///< Time of the third crash; zero: none yet.
+  std::multimap<TimePoint, std::function<void()>>
+      Queue;                               ///< Event queue, by time.
+  std::vector<Quarantine> Nodes;           ///< Quarantine state of each node.
+  std::vector<std::string> Ids;            ///< Ids of the nodes.
+  std::vector<CrashingUpstream> Upstreams; ///< All upstreams.
+  std::set<Fingerprint>
+      QuarantinedHarmless;       ///< Harmless requests that were quarantined.
+  std::uint64_t LastContent = 1; ///< Latest harmless fingerprint.
+  std::uint64_t LastRun = 0;     ///< Id of the latest attempt.
+  QuarantineOutcome Out;         ///< Results so far.
 };
 
 } // namespace
--- a/src/bench/quarantine_model.h
+++ b/src/bench/quarantine_model.h
@@ -1,5 +1,5 @@
-/// \file quarantine_model.h Requests that crash upstreams, in virtual time:
-/// ways for nodes to find them out.
+/// \file quarantine_model.h Simulates, in virtual time, how nodes detect
+/// and quarantine requests that crash upstreams.
 #ifndef FULMARSTEP_QUARANTINE_MODEL_H
 #define FULMARSTEP_QUARANTINE_MODEL_H
 
@@ -10,45 +10,44 @@
 
 namespace fulmar {
 
-/// How nodes share what they see of crashes.
+/// How nodes share the crashes that they observe.
 enum class QuarantineSharing {
-  None,    ///< Nobody judges: each try is a new request.
-  Alone,   ///< Each node judges by what it has seen itself.
-  All,     ///< Each crash is told to all nodes.
-  Judges,  ///< Each crash is told to the nodes that judge the request.
+  None,    ///< No quarantine: each try is a new request.
+  Alone,   ///< Each node decides by the crashes it has seen.
+  All,     ///< Each crash is reported to all nodes.
+  Judges,  ///< Each crash is reported to the request's arbiters.
   Count,   ///< Number of ways.
   Invalid, ///< Not a way.
 };
 
-/// \return The written name of \p Way.
+/// \return The name of \p Way in tables.
 std::string_view quarantineSharingName(QuarantineSharing Way);
 
 /// A fleet and its load.
 struct QuarantinePlan {
-  int Nodes = 8;                                 ///< That take requests.
-  int Upstreams = 18;                            ///< That run them.
-  double DeadlyPerS = 3;                         ///< Tries of one request.
-  double HarmlessPerS = 45;                      ///< Other requests.
-  Duration Run = std::chrono::milliseconds(900); ///< Of a harmless request.
+  int Nodes = 8;            ///< Nodes that receive requests.
+  int Upstreams = 18;       ///< Upstreams that run the requests.
+  double DeadlyPerS = 3;    ///< Tries per second of the deadly request.
+  double HarmlessPerS = 45; ///< Harmless requests per second.
+  Duration Run = std::chrono::milliseconds(900); ///< Service time, harmless.
   Duration CrashAfter = std::chrono::milliseconds(90); ///< Of a deadly run.
-  Duration DownFor = std::chrono::seconds(3);          ///< After a crash.
-  Duration Delay = std::chrono::microseconds(1400);    ///< Of a message.
-  double Loss = 0;                                     ///< Share of messages.
-  Duration Length = std::chrono::seconds(60);          ///< Of the load.
-  std::uint64_t Seed = 1;                              ///< Of random choices.
+  Duration DownFor = std::chrono::seconds(3);          ///< Restart time.
+  Duration Delay = std::chrono::microseconds(1400); ///< Latency of a message.
+  double Loss = 0;                                  ///< Share of lost messages.
+  Duration Length = std::chrono::seconds(60);       ///< Length of the load.
+  std::uint64_t Seed = 1; ///< Of the random generator.
 };
 
-/// What a run came to.
+/// Results of a run.
 struct QuarantineOutcome {
-  int Crashes = 0;      ///< Ends of upstreams.
-  int SendsAfter = 0;   ///< Deadly tries that were sent later than 4 s after
-                        ///< the third crash.
+  int Crashes = 0;      ///< Crashes of upstreams.
+  int SendsAfter = 0;   ///< Deadly tries sent later than 4 s after crash 3.
   int HarmlessLost = 0; ///< Harmless requests without an answer.
   int HarmlessHeld = 0; ///< Harmless requests that were quarantined.
-  std::uint64_t Messages = 0; ///< Between nodes.
+  std::uint64_t Messages = 0; ///< Messages between nodes.
 };
 
-/// Runs one fleet.
+/// Simulates one fleet.
 QuarantineOutcome runQuarantinePlan(const QuarantinePlan &Plan,
                                     QuarantineSharing Way);
 
