--- a/src/batch.cpp
+++ b/src/batch.cpp
@@ -45,7 +45,7 @@
 /// \return Whether some upstream is short of space for results.
 static bool isSpaceScarce(const BatchPool &P) {
   for (const auto &[Start, U] : P.Upstreams) {
-    if (U.RoomUsed > P.Spec.RoomBytes * ScarceSpaceShare)
+    if (U.SpaceUsed > P.Spec.RoomBytes * ScarceSpaceShare)
       return true;
   }
   return false;
@@ -79,8 +79,8 @@
     return;
   auto Producer = P.Upstreams.find(Found->second.Upstream);
   if (Producer != P.Upstreams.end())
-    Producer->second.RoomUsed =
-        std::max(0.0, Producer->second.RoomUsed - Found->second.Bytes);
+    Producer->second.SpaceUsed =
+        std::max(0.0, Producer->second.SpaceUsed - Found->second.Bytes);
   P.Kept.erase(Found);
 }
 
@@ -119,7 +119,7 @@
 /// present backlog has shrunk so far that the request could have been on time.
 static Duration retryDelay(const BatchForecast &Forecast, Duration Due) {
   return std::max(Forecast.Late - std::max(Due, Duration::zero()),
-                  LeastComeBack);
+                  MinRetryDelay);
 }
 
 /// Decays smoothed values by the time since the last call. A pool without work
@@ -266,7 +266,7 @@
                          ? std::max(0, Result.Load->Running +
                                            Result.Load->Waiting - U.InFlight)
                          : 0;
-  if (anyPiece(Result, PieceEnd::NoRoom))
+  if (anyPiece(Result, PieceEnd::NoSpace))
     learnRefusal(U, Now);
   else
     U.Refusals = 0;
@@ -306,7 +306,7 @@
     return {BatchEnd::Hopeless, /*Again=*/false, /*Refused=*/false};
   case PieceEnd::InputsGone:
     return {BatchEnd::InputsGone, /*Again=*/false, /*Refused=*/false};
-  case PieceEnd::NoRoom:
+  case PieceEnd::NoSpace:
     return {BatchEnd::Failed, /*Again=*/true, /*Refused=*/true};
   case PieceEnd::Done:
   case PieceEnd::Failed:
@@ -322,8 +322,8 @@
                                std::size_t Index) {
   auto Producer = P.Upstreams.find(Call.Upstream);
   if (Producer != P.Upstreams.end())
-    Producer->second.RoomUsed =
-        std::max(0.0, Producer->second.RoomUsed - Call.Bytes[Index]);
+    Producer->second.SpaceUsed =
+        std::max(0.0, Producer->second.SpaceUsed - Call.Bytes[Index]);
 }
 
 void batchCallEnded(BatchPool &P, BatchCallId Id, const BatchCallResult &Result,
@@ -377,8 +377,8 @@
   return true;
 }
 
-void batchRemake(BatchPool &P, std::span<const std::string> Lost, TimePoint Now,
-                 BatchActions &Out) {
+void batchRecompute(BatchPool &P, std::span<const std::string> Lost,
+                    TimePoint Now, BatchActions &Out) {
   std::set<std::string> Handles(Lost.begin(), Lost.end());
   std::vector<BatchRequestId> Failed;
   for (auto &[Id, Job] : P.Jobs) {
@@ -440,7 +440,7 @@
   }
   // The time until the remaining jobs are sent.
   Duration RetryIn =
-      std::max(batchQueueDelay(Throughput, Ahead, AheadLate), LeastComeBack);
+      std::max(batchQueueDelay(Throughput, Ahead, AheadLate), MinRetryDelay);
   for (BatchRequestId Id : Hopeless) {
     ++P.Counts.Dropped;
     answer(P, P.Jobs.find(Id), BatchEnd::Hopeless, RetryIn, Out);
@@ -489,8 +489,9 @@
 /// released then are gone when the call starts, and must be computed again.
 static void notifyInputsRead(BatchPool &P, TimePoint Now, BatchActions &Out) {
   for (auto &[Id, Job] : P.Jobs) {
-    if (!Job.Request.TellRead || Job.InputsRead || !Job.StartsImmediately ||
-        Job.Waiting > 0 || Now - Job.StartedAt < P.InputsRead.Wait)
+    if (!Job.Request.NotifyInputsRead || Job.InputsRead ||
+        !Job.StartsImmediately || Job.Waiting > 0 ||
+        Now - Job.StartedAt < P.InputsRead.Wait)
       continue;
     Job.InputsRead = true;
     Out.push_back(InputsReadAction{Id});
--- a/src/batch_base.h
+++ b/src/batch_base.h
@@ -30,7 +30,7 @@
   TimePoint AvoidUntil{};     ///< Gets no calls until then, after failures.
   TimePoint FullUntil{}; ///< Gets no calls until then, after it reported that
                          ///< it was full.
-  double RoomUsed = 0;   ///< Bytes of stored and reserved results.
+  double SpaceUsed = 0;  ///< Bytes of stored and reserved results.
   SendPace Pace;         ///< Paces calls while the upstream names a rate limit.
 };
 
@@ -129,7 +129,7 @@
   Incarnation Upstream;         ///< Another incarnation must refuse the call.
   std::vector<BatchItem> Items; ///< Its pieces.
   Duration Timeout{};           ///< Time after which the call is cancelled.
-  double RoomUsed = 0;          ///< Bytes of results at the upstream, for logs.
+  double SpaceUsed = 0;         ///< Bytes of results at the upstream, for logs.
 };
 
 /// Pass a result to the submitter of a batch request.
--- a/src/batch_internal.h
+++ b/src/batch_internal.h
@@ -98,8 +98,8 @@
 
 /// Recomputes pieces whose results are lost; a batch request whose pieces may
 /// not be repeated fails.
-void batchRemake(BatchPool &P, std::span<const std::string> Lost, TimePoint Now,
-                 BatchActions &Out);
+void batchRecompute(BatchPool &P, std::span<const std::string> Lost,
+                    TimePoint Now, BatchActions &Out);
 
 } // namespace fulmar
 
--- a/src/batch_send.cpp
+++ b/src/batch_send.cpp
@@ -129,7 +129,7 @@
   paceSent(U.Pace, Now);
   U.FreeAt = Now + Call.Expected;
   for (double B : Bytes)
-    U.RoomUsed += B;
+    U.SpaceUsed += B;
   ++P.Counts.Calls;
   P.Counts.Pieces += Items.size();
   Call.Items = Items;
@@ -139,7 +139,7 @@
   Send.Address = U.Entry.Address;
   Send.Upstream = Call.Upstream;
   Send.Items = std::move(Items);
-  Send.RoomUsed = U.RoomUsed;
+  Send.SpaceUsed = U.SpaceUsed;
   Send.Timeout =
       std::max(MinCallTimeout,
                fromMs(toMs(batchCallTime(P.Spec, Size)) * TimeoutFactor));
@@ -262,7 +262,7 @@
     CallDraft Call;
     Call.MaxItems = MaxItems;
     Call.StartsImmediately = startsImmediately(*U, Now);
-    Call.SpaceLeft = P.Spec.RoomBytes * UsableSpaceShare - U->RoomUsed;
+    Call.SpaceLeft = P.Spec.RoomBytes * UsableSpaceShare - U->SpaceUsed;
     fillCall(P, Order, *U, Call, Now);
     if (Call.Items.empty())
       continue;
--- a/src/batch_service.cpp
+++ b/src/batch_service.cpp
@@ -292,7 +292,7 @@
               {"pieces", Send.Items.size()},
               {"waiting", Waiting},
               {"jobs", P.Jobs.size()},
-              {"room_used", Send.RoomUsed}});
+              {"room_used", Send.SpaceUsed}});
   }
   HttpCall Call = Wire.writeBatch(Send.Items, Send.Upstream.Instance);
   Call.Address = Send.Address;
--- a/src/batch_type.h
+++ b/src/batch_type.h
@@ -18,7 +18,7 @@
 
 /// Least retry delay that a refusal tells its client: a few round trips later a
 /// full pool is as full as before.
-inline constexpr Duration LeastComeBack = std::chrono::milliseconds(200);
+inline constexpr Duration MinRetryDelay = std::chrono::milliseconds(200);
 
 struct BatchRequestTag {};
 struct BatchCallTag {};
@@ -37,7 +37,7 @@
   int Priority = 5;                ///< 0 is the most urgent.
   double ResultBytes = 0;          ///< Approximate size of one result.
   std::string Domain;              ///< Preferred failure domain; empty: none.
-  bool TellRead = false;           ///< Notify when the inputs have been read.
+  bool NotifyInputsRead = false;   ///< Notify when the inputs have been read.
   Fingerprint Content; ///< Fingerprint; the same for each retry of a request.
   int Crashes = 0;     ///< Upstream crashes under it, as known here.
   Duration Due{};      ///< From now; latest on-time completion.
@@ -117,7 +117,7 @@
   Done,       ///< There is a result.
   Late,       ///< Its deadline passed before it was started.
   InputsGone, ///< An input no longer exists.
-  NoRoom,     ///< There was no space for the result.
+  NoSpace,    ///< There was no space for the result.
   Failed,     ///< It could not be produced.
   Count,      ///< Number of outcomes.
   Invalid,    ///< Not an outcome.
--- a/src/gateway_admission.cpp
+++ b/src/gateway_admission.cpp
@@ -138,11 +138,11 @@
   if (R.Arrived + R.Expected > R.OnTimeBy)
     R.Expected = expectedLatePath(R);
   if (R.Arrived + R.Expected > R.FirstEventDeadline) {
-    R.RetryIn = std::max(R.Expected - R.Route->Target, LeastComeBack);
+    R.RetryIn = std::max(R.Expected - R.Route->Target, MinRetryDelay);
     return ResultCode::StageHopeless;
   }
   if (auto Wait = limitedWait(R)) {
-    R.RetryIn = std::max(*Wait, LeastComeBack);
+    R.RetryIn = std::max(*Wait, MinRetryDelay);
     return ResultCode::UpstreamsBusy;
   }
   return ResultCode::Complete;
--- a/src/gateway_stages.cpp
+++ b/src/gateway_stages.cpp
@@ -103,7 +103,7 @@
     const StageProgress &Input = R.Stages[static_cast<std::size_t>(Needed)];
     Ask.Inputs.insert(Ask.Inputs.end(), Input.Handles.begin(),
                       Input.Handles.end());
-    Ask.TellRead = Ask.TellRead || Input.SpaceScarce;
+    Ask.NotifyInputsRead = Ask.NotifyInputsRead || Input.SpaceScarce;
   }
   Ask.Deadline =
       std::min(Ask.Deadline, inputsExpireAt(R, Index) - Timers->now());
--- a/src/read_wait.h
+++ b/src/read_wait.h
@@ -12,10 +12,10 @@
 
 /// Least wait after a send: an idle upstream opens a connection and fetches the
 /// inputs from another failure domain of the same region, each a few ms.
-inline constexpr Duration LeastReadWait = std::chrono::milliseconds(20);
+inline constexpr Duration MinReadWait = std::chrono::milliseconds(20);
 /// Most wait; no upstream needs longer, and beyond it results expire by
 /// themselves first.
-inline constexpr Duration MostReadWait = std::chrono::milliseconds(640);
+inline constexpr Duration MaxReadWait = std::chrono::milliseconds(640);
 /// Factors for each piece of work whose inputs were missing, and for each whose
 /// inputs were there. One in twenty may be missing: sometimes an upstream is
 /// slower than usual, and a longer wait for all costs more than repeating the
@@ -31,15 +31,15 @@
 /// are gone too early and all of the work is repeated. Regions may be far
 /// apart; the wait adapts to that.
 struct ReadWait {
-  Duration Wait = LeastReadWait; ///< Current estimate.
+  Duration Wait = MinReadWait; ///< Current estimate.
 };
 
 /// Updates the estimate from the number of pieces of work whose inputs were
 /// released early and were missing, or were found.
 inline void readWaitLearn(ReadWait &W, int Missed, int Found) {
   double Factor = std::pow(MissedFactor, Missed) * std::pow(FoundFactor, Found);
-  W.Wait = fromMs(std::clamp(toMs(W.Wait) * Factor, toMs(LeastReadWait),
-                             toMs(MostReadWait)));
+  W.Wait = fromMs(
+      std::clamp(toMs(W.Wait) * Factor, toMs(MinReadWait), toMs(MaxReadWait)));
 }
 
 } // namespace fulmar
--- a/src/restart.cpp
+++ b/src/restart.cpp
@@ -76,13 +76,13 @@
     ++U.InFlight;
     U.FreeAt = std::max(U.FreeAt, Call.Sent + Call.Expected);
     for (double Bytes : Call.Bytes)
-      U.RoomUsed += Bytes;
+      U.SpaceUsed += Bytes;
   }
   for (auto &[Handle, Kept] : P.Kept) {
     if (Kept.Upstream != Earlier)
       continue;
     Kept.Upstream = Later;
-    U.RoomUsed += Kept.Bytes;
+    U.SpaceUsed += Kept.Bytes;
   }
   P.Upstreams.erase(Earlier);
 }
@@ -96,7 +96,7 @@
   std::vector<std::string> Lost = dropResults(P, Restart);
   endCalls(P, Restart, Now, Out);
   moveToNewStart(P, Restart);
-  batchRemake(P, Lost, Now, Out);
+  batchRecompute(P, Lost, Now, Out);
 }
 
 } // namespace fulmar
--- a/tests/batch_world.h
+++ b/tests/batch_world.h
@@ -20,7 +20,7 @@
   std::vector<SendBatchAction> Sent;
   std::map<std::string, double> Slow; ///< Factor of the call time, by instance.
   bool Full = false;                  ///< Upstreams refuse calls as full.
-  bool NoRoom = false;                ///< Upstreams have no space for results.
+  bool NoSpace = false;               ///< Upstreams have no space for results.
   Fingerprint Deadly;                 ///< Crashes upstreams; 0: none does.
   std::map<Fingerprint, int> Crashes; ///< Crashed calls, by content.
   int OtherCalls = 0;                 ///< Of other nodes, as upstreams report.
@@ -81,7 +81,7 @@
     }
   }
 
-  BatchRequest makeAsk(int Pieces, int Priority = 0) const {
+  BatchRequest makeBatchRequest(int Pieces, int Priority = 0) const {
     BatchRequest Request;
     Request.RequestId = "r";
     Request.Pieces = Pieces;
@@ -134,8 +134,8 @@
       Crashes[Content] += Result.Crashed ? 1 : 0;
     for (std::size_t I = 0; I < Call.Items.size(); ++I) {
       std::string Handle = Call.Address + "/" + std::to_string(++LastHandle);
-      Result.Pieces.push_back(NoRoom ? PieceResult{PieceEnd::NoRoom, ""}
-                                     : PieceResult{PieceEnd::Done, Handle});
+      Result.Pieces.push_back(NoSpace ? PieceResult{PieceEnd::NoSpace, ""}
+                                      : PieceResult{PieceEnd::Done, Handle});
     }
     BatchActions Out;
     batchCallEnded(P, BatchCallId{Id}, Result, Now, Out);
--- a/tests/test_batch.cpp
+++ b/tests/test_batch.cpp
@@ -13,10 +13,10 @@
 
 SCENARIO("pieces of many requests share calls") {
   PoolWorld W(1);
-  std::uint64_t First = W.ask(W.makeAsk(4));
+  std::uint64_t First = W.ask(W.makeBatchRequest(4));
   std::vector<std::uint64_t> Others;
   for (int I = 0; I < 5; ++I)
-    Others.push_back(W.ask(W.makeAsk(4)));
+    Others.push_back(W.ask(W.makeBatchRequest(4)));
   THEN("the first goes alone, the others together") {
     CHECK(W.Sent.size() == 1);
     CHECK(W.Sent[0].Items.size() == 4);
@@ -38,7 +38,7 @@
   for (int I = 0; I < 300; ++I) {
     W.pass(milliseconds(20));
     W.freeAll();
-    W.ask(W.makeAsk(4));
+    W.ask(W.makeBatchRequest(4));
     ++Asked;
   }
   W.pass(seconds(2));
@@ -72,7 +72,7 @@
     constexpr double Arrivals = 1.08;
     double Left = Arrivals * randomUnit(Rng) * 2;
     for (; Left > randomUnit(Rng); Left -= 1)
-      Asked[W.ask(W.makeAsk(4))] = W.Now;
+      Asked[W.ask(W.makeBatchRequest(4))] = W.Now;
   }
   std::sort(Times.begin(), Times.end());
   double Mean = std::accumulate(Times.begin(), Times.end(), 0.0) /
@@ -108,7 +108,7 @@
     bool Second = I % 8 >= 5;
     if (I % 8 == 7)
       continue;
-    BatchRequest Request = W.makeAsk(4, Second ? 2 : 0);
+    BatchRequest Request = W.makeBatchRequest(4, Second ? 2 : 0);
     Request.Due = milliseconds(1100);
     std::uint64_t Id = W.ask(Request);
     Due[Id] = W.Now + Request.Due;
@@ -153,7 +153,7 @@
     }
     // 400 pieces/s; the pool completes 269. All have a target of 700 ms and a
     // deadline of 2.7 s.
-    BatchRequest Request = W.makeAsk(4);
+    BatchRequest Request = W.makeBatchRequest(4);
     Request.Due = milliseconds(700);
     Request.Deadline = milliseconds(2700);
     Asked[W.ask(Request)] = W.Now;
@@ -194,7 +194,7 @@
         ++OnTime[Priority];
     }
     W.Answers.clear();
-    BatchRequest Request = W.makeAsk(8, I % 8 == 0 ? 2 : 1);
+    BatchRequest Request = W.makeBatchRequest(8, I % 8 == 0 ? 2 : 1);
     Request.Due = milliseconds(900);
     ++Asks[Request.Priority];
     std::uint64_t Id = W.ask(Request);
@@ -218,7 +218,7 @@
   Spec.RoomBytes = 1.2e6; // 18 results.
   PoolWorld W(1, Spec);
   for (int I = 0; I < 6; ++I) {
-    BatchRequest Request = W.makeAsk(8);
+    BatchRequest Request = W.makeBatchRequest(8);
     Request.Due = milliseconds(3000 - 400 * I);
     W.ask(Request);
   }
@@ -246,7 +246,7 @@
     W.pass(milliseconds(10));
     // 200 pieces/s are submitted; the next stage takes 80.
     if (I % 2 == 0) {
-      BatchRequest Request = W.makeAsk(4);
+      BatchRequest Request = W.makeBatchRequest(4);
       Request.Deadline = std::chrono::seconds(60);
       W.ask(Request);
     }
@@ -275,10 +275,10 @@
 
 SCENARIO("the space of inputs is released when they were read") {
   PoolWorld W(1);
-  W.ask(W.makeAsk(1));
+  W.ask(W.makeBatchRequest(1));
   W.pass(milliseconds(260));
-  BatchRequest Request = W.makeAsk(4);
-  Request.TellRead = true;
+  BatchRequest Request = W.makeBatchRequest(4);
+  Request.NotifyInputsRead = true;
   Request.Inputs = {"x/1"};
   GIVEN("an upstream that gets calls from this node only") {
     std::uint64_t Id = W.ask(Request);
@@ -295,7 +295,7 @@
     // after it was sent, before it starts. The cause was that an upstream
     // without a call of this node was taken to be idle.
     W.OtherCalls = 1;
-    W.ask(W.makeAsk(1));
+    W.ask(W.makeBatchRequest(1));
     W.pass(milliseconds(260));
     std::uint64_t Id = W.ask(Request);
     W.pass(milliseconds(200));
@@ -305,8 +305,8 @@
 
 SCENARIO("inputs are kept while the load of the upstream is unknown") {
   PoolWorld W(1);
-  BatchRequest Request = W.makeAsk(4);
-  Request.TellRead = true;
+  BatchRequest Request = W.makeBatchRequest(4);
+  Request.NotifyInputsRead = true;
   std::uint64_t Id = W.ask(Request);
   W.pass(milliseconds(80));
   CHECK(W.Read.count(Id) == 0);
@@ -315,9 +315,9 @@
 SCENARIO("batch requests that cannot complete in time") {
   PoolWorld W(1);
   for (int I = 0; I < 40; ++I)
-    W.ask(W.makeAsk(12));
+    W.ask(W.makeBatchRequest(12));
   GIVEN("a request that arrives while many pieces wait") {
-    BatchRequest Request = W.makeAsk(4);
+    BatchRequest Request = W.makeBatchRequest(4);
     Request.Deadline = milliseconds(900);
     std::uint64_t Id = W.ask(Request);
     THEN("it is refused at once, with a retry delay") {
@@ -346,7 +346,7 @@
   W.Slow["i0"] = 6;
   std::vector<std::uint64_t> Ids;
   for (int I = 0; I < 60; ++I) {
-    Ids.push_back(W.ask(W.makeAsk(4)));
+    Ids.push_back(W.ask(W.makeBatchRequest(4)));
     W.pass(milliseconds(40));
     W.freeAll();
   }
@@ -365,7 +365,7 @@
 SCENARIO("upstreams that report that they are full") {
   PoolWorld W(2);
   W.Full = true;
-  std::uint64_t Id = W.ask(W.makeAsk(2));
+  std::uint64_t Id = W.ask(W.makeBatchRequest(2));
   W.pass(milliseconds(200));
   THEN("they are tried again after a backoff") {
     CHECK(W.Answers.empty());
@@ -386,15 +386,15 @@
   W.P.Allowance = {0, 0, seconds(10), 1};
   SECTION("they refuse calls") { W.Full = true; }
   SECTION("their space is taken by results of the previous coordinator") {
-    W.NoRoom = true;
+    W.NoSpace = true;
   }
-  std::uint64_t Id = W.ask(W.makeAsk(2));
+  std::uint64_t Id = W.ask(W.makeBatchRequest(2));
   W.pass(milliseconds(1500));
   CHECK(W.Answers.empty());
   CHECK(W.Sent.size() <= 10);
-  std::uint64_t Later = W.ask(W.makeAsk(2));
+  std::uint64_t Later = W.ask(W.makeBatchRequest(2));
   CHECK(W.Answers.empty());
-  W.Full = W.NoRoom = false;
+  W.Full = W.NoSpace = false;
   W.pass(milliseconds(1200));
   REQUIRE(W.Answers.size() == 2);
   CHECK(W.Answers.at(Id).End == BatchEnd::Done);
@@ -403,7 +403,7 @@
 
 SCENARIO("large results are computed in the failure domain that uses them") {
   PoolWorld W(3);
-  BatchRequest Request = W.makeAsk(2);
+  BatchRequest Request = W.makeBatchRequest(2);
   Request.Domain = "z2";
   Request.Due = seconds(4);
   W.ask(Request);
@@ -448,7 +448,7 @@
     constexpr double Arrivals = 0.66;
     if (randomUnit(Rng) >= Arrivals)
       continue;
-    BatchRequest Request = W.makeAsk(16);
+    BatchRequest Request = W.makeBatchRequest(16);
     Request.Domain = "z" + std::to_string(randomIndex(Rng, 3));
     Request.RequestId = Request.Domain;
     Request.Due = milliseconds(700);
@@ -471,14 +471,14 @@
 
 SCENARIO("a request is cancelled while its pieces are computed") {
   PoolWorld W(1);
-  std::uint64_t Id = W.ask(W.makeAsk(2));
+  std::uint64_t Id = W.ask(W.makeBatchRequest(2));
   BatchActions Out;
   batchCancel(W.P, BatchRequestId{Id}, W.Now, Out);
   W.perform(Out);
   W.pass(milliseconds(400));
   CHECK(W.Answers.empty());
   CHECK(W.Freed.size() == 2);
-  CHECK(W.P.Upstreams.begin()->second.RoomUsed == 0);
+  CHECK(W.P.Upstreams.begin()->second.SpaceUsed == 0);
 }
 
 SCENARIO("which node coordinates a pool") {
--- a/tests/test_decisions.cpp
+++ b/tests/test_decisions.cpp
@@ -237,7 +237,7 @@
     }
     THEN("the wait has an upper bound") {
       readWaitLearn(W, 1000, 0);
-      CHECK(W.Wait == MostReadWait);
+      CHECK(W.Wait == MaxReadWait);
     }
   }
   GIVEN("a few requests whose inputs are gone for other reasons") {
@@ -247,6 +247,6 @@
     // such request counted as much as a call that consists of them.
     for (int I = 0; I < 400; ++I)
       readWaitLearn(W, I % 4 == 0 ? 6 : 0, I % 4 == 0 ? 40 : 46);
-    CHECK(W.Wait < LeastReadWait * 3 / 2);
+    CHECK(W.Wait < MinReadWait * 3 / 2);
   }
 }
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -208,7 +208,7 @@
     CHECK(Result.Pieces[0].End == PieceEnd::Done);
     CHECK(Wire.handleAddress(Result.Pieces[0].Handle) == "1.2.3.4:5");
     CHECK(Result.Pieces[1].End == PieceEnd::InputsGone);
-    CHECK(Result.Pieces[2].End == PieceEnd::NoRoom);
+    CHECK(Result.Pieces[2].End == PieceEnd::NoSpace);
     CHECK(Result.Pieces[3].End == PieceEnd::Late);
     CHECK(Result.Pieces[4].End == PieceEnd::Failed);
     Answer.Status = 503;
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -361,7 +361,7 @@
   W.Deadly = Fingerprint{99};
   std::map<std::uint64_t, std::uint64_t> Ids;
   for (std::uint64_t Content : {1, 2, 99, 3, 4}) {
-    BatchRequest Ask = W.makeAsk(2);
+    BatchRequest Ask = W.makeBatchRequest(2);
     Ask.Content = Fingerprint{Content};
     Ids[Content] = W.ask(Ask);
   }
@@ -373,7 +373,7 @@
     CHECK(W.Crashes[Fingerprint{Content}] < 3);
   }
   WHEN("it is sent again, and its earlier crashes are known") {
-    BatchRequest Ask = W.makeAsk(2);
+    BatchRequest Ask = W.makeBatchRequest(2);
     Ask.Content = W.Deadly;
     Ask.Crashes = 2;
     W.ask(Ask);
--- a/tests/test_restart.cpp
+++ b/tests/test_restart.cpp
@@ -96,7 +96,7 @@
 SCENARIO("a pool's upstream restarts under the same name") {
   PoolWorld W(1);
   GIVEN("a call in flight to it") {
-    std::uint64_t Id = W.ask(W.makeAsk(4));
+    std::uint64_t Id = W.ask(W.makeBatchRequest(4));
     REQUIRE(W.Sent.size() == 1);
     W.Now += milliseconds(50);
     THEN("its pieces are run again at once") {
@@ -118,7 +118,8 @@
     }
   }
   GIVEN("results that it holds for a request that is not complete") {
-    BatchRequest Ask = W.makeAsk(30); // At most 24 pieces a call: two calls.
+    BatchRequest Ask =
+        W.makeBatchRequest(30); // At most 24 pieces a call: two calls.
     std::uint64_t Id = W.ask(Ask);
     W.pass(milliseconds(460));
     REQUIRE(W.Answers.count(Id) == 0);
@@ -140,7 +141,7 @@
     U.Failures = 5;
     U.Slowness = 7;
     U.AvoidUntil = W.Now + seconds(9);
-    U.RoomUsed = 2e6;
+    U.SpaceUsed = 2e6;
     restart(W, "i0", milliseconds(1));
     THEN("they are reset") {
       REQUIRE(W.P.Upstreams.size() == 1);
@@ -148,7 +149,7 @@
       CHECK(New.Failures == 0);
       CHECK(New.Slowness == 1);
       CHECK(New.AvoidUntil == TimePoint{});
-      CHECK(New.RoomUsed == 0);
+      CHECK(New.SpaceUsed == 0);
     }
   }
 }
