--- a/src/domain_drain.cpp
+++ b/src/domain_drain.cpp
@@ -15,7 +15,7 @@
     Known.Names.erase(Domain);
 }
 
-bool domainDrainTake(DrainedDomains &Known, const DrainedDomains &Heard) {
+bool domainDrainMerge(DrainedDomains &Known, const DrainedDomains &Heard) {
   if (Heard.Revision <= Known.Revision)
     return false;
   Known = Heard;
--- a/src/fleet_clock.h
+++ b/src/fleet_clock.h
@@ -29,8 +29,8 @@
 }
 
 /// Advances the clock to the fleet time of another node, if that is ahead.
-inline void fleetTimeHeard(FleetClock &Clock, Duration Received,
-                           TimePoint Now) {
+inline void fleetTimeAdvance(FleetClock &Clock, Duration Received,
+                             TimePoint Now) {
   Clock.Offset = std::max(Clock.Offset, Received - (Now - Clock.Started));
 }
 
--- a/src/gateway_pools.cpp
+++ b/src/gateway_pools.cpp
@@ -125,8 +125,8 @@
   if (Found == Pools.end())
     return;
   Pool &P = Found->second;
-  Upstream &U =
-      listUpstream(P, specOf(Entry), Fresh, Config.FailureDomain, LastUpstream);
+  Upstream &U = addOrUpdateUpstream(P, specOf(Entry), Fresh,
+                                    Config.FailureDomain, LastUpstream);
   setPace(P, U, ColdRates[Entry.Pool]);
 }
 
--- a/src/gateway_rate_limit.cpp
+++ b/src/gateway_rate_limit.cpp
@@ -95,7 +95,7 @@
     U.Pace.Turns = PaceTurns();
     return;
   }
-  numberPlaces(P);
+  updatePlaces(P);
   PacedPools.insert(P.Spec.Name);
   const MemberInfo &Self = Members->state().Self;
   TimePoint Origin = fleetOrigin(Peers->clock());
--- a/src/host_list_service.cpp
+++ b/src/host_list_service.cpp
@@ -107,7 +107,7 @@
   for (const auto &[Pool, Specs] : Listed) {
     Subset &S = Subsets[Pool];
     S.Self = Config.NodeId;
-    subsetNodes(S, Nodes);
+    updateSubsetNodes(S, Nodes);
     for (std::size_t Index : chooseSubset(
              S, Specs, static_cast<std::size_t>(Config.UpstreamSubset)))
       Used.push_back(Specs[Index]);
--- a/src/micro/micro.cpp
+++ b/src/micro/micro.cpp
@@ -148,14 +148,14 @@
     Ids->push_back("n" + std::to_string(I));
   auto S = std::make_shared<Subset>();
   S->Self = "n0";
-  subsetNodes(*S, *Ids);
+  updateSubsetNodes(*S, *Ids);
   return [Listed, Ids, S] {
     std::string Gone = Ids->back();
     Ids->pop_back();
-    subsetNodes(*S, *Ids);
+    updateSubsetNodes(*S, *Ids);
     benchmark::DoNotOptimize(chooseSubset(*S, Listed, 64));
     Ids->push_back(Gone);
-    subsetNodes(*S, *Ids);
+    updateSubsetNodes(*S, *Ids);
     benchmark::DoNotOptimize(chooseSubset(*S, Listed, 64));
   };
 }
--- a/src/peer_service.cpp
+++ b/src/peer_service.cpp
@@ -88,7 +88,7 @@
     return;
   }
   Views.Others[Message->Sender] = {Message->MemberDigest, Timers.now()};
-  fleetTimeHeard(Clock, Message->FleetTime, Timers.now());
+  fleetTimeAdvance(Clock, Message->FleetTime, Timers.now());
   ++Counts.Received;
   Counts.ReceivedBytes += Bytes.size();
   if (Any)
--- a/src/route_feed.cpp
+++ b/src/route_feed.cpp
@@ -311,7 +311,7 @@
 void RouteFeed::applyDrained(const DrainedDomains &Heard,
                              std::string_view Source) {
   std::set<std::string> Before = Drained.Names;
-  if (!domainDrainTake(Drained, Heard) || Drained.Names == Before)
+  if (!domainDrainMerge(Drained, Heard) || Drained.Names == Before)
     return;
   auto Log = [&](std::string_view Event, const std::string &Domain) {
     logEvent(LogLevel::Info, Event,
--- a/src/router_attempt.cpp
+++ b/src/router_attempt.cpp
@@ -28,7 +28,7 @@
     --U->InFlight;
   if (Cancel) {
     if (U)
-      upstreamAbandoned(*U, Now - A.Started, floorOf(State, R, A));
+      upstreamCancelled(*U, Now - A.Started, floorOf(State, R, A));
     R.Ran.back().WastedMs += toMs(Now - A.Started);
     Out.push_back(CancelAction{Id});
   }
--- a/src/state_sync_type.h
+++ b/src/state_sync_type.h
@@ -13,8 +13,9 @@
 
 /// Queries the state that a node knows.
 struct StateSyncRequest {
-  std::uint64_t Nonce = 0;                  ///< Returned in the response.
-  std::uint64_t ListDigest = EmptyRegistry; ///< Digest of the requester's list.
+  std::uint64_t Nonce = 0; ///< Returned in the response.
+  std::uint64_t ListDigest =
+      UnreadListDigest;                 ///< Digest of the requester's list.
   std::optional<BucketDigests> Buckets; ///< Of its parts, where no change that
                                         ///< was sent begins at that digest.
 };
--- a/src/subset.cpp
+++ b/src/subset.cpp
@@ -29,7 +29,7 @@
   }
 }
 
-void subsetNodes(Subset &S, std::span<const std::string> Nodes) {
+void updateSubsetNodes(Subset &S, std::span<const std::string> Nodes) {
   std::vector<std::string> Next(Nodes.begin(), Nodes.end());
   std::sort(Next.begin(), Next.end());
   std::erase(Next, S.Self);
--- a/src/subset_func.h
+++ b/src/subset_func.h
@@ -10,7 +10,7 @@
 
 /// Updates the live nodes. Computes one hash per upstream for each node that
 /// joined or left, not one for each pair of a node and an upstream.
-void subsetNodes(Subset &S, std::span<const std::string> Nodes);
+void updateSubsetNodes(Subset &S, std::span<const std::string> Nodes);
 
 /// Chooses about \p Size upstreams of a pool for this node to use.
 /// \return Indexes into \p Listed, ascending; all of them if there are at most
--- a/src/upstream.cpp
+++ b/src/upstream.cpp
@@ -255,7 +255,7 @@
     eject(P, U, Now);
 }
 
-void upstreamAbandoned(Upstream &U, Duration Elapsed, Duration Floor) {
+void upstreamCancelled(Upstream &U, Duration Elapsed, Duration Floor) {
   // Calls to a slow upstream are cancelled when their hedges complete first. If
   // only completed calls counted as samples, the slowest upstream would seem as
   // fast as the ones that ran the hedges, and would keep its full share.
@@ -329,7 +329,7 @@
   P.PlacesStale = false;
 }
 
-void numberPlaces(Pool &P) {
+void updatePlaces(Pool &P) {
   if (!std::exchange(P.PlacesStale, false))
     return;
   std::vector<Upstream *> Listed;
@@ -381,8 +381,9 @@
   return U;
 }
 
-Upstream &listUpstream(Pool &P, const UpstreamSpec &Spec, bool IsNew,
-                       const std::string &OwnDomain, std::uint32_t &LastId) {
+Upstream &addOrUpdateUpstream(Pool &P, const UpstreamSpec &Spec, bool IsNew,
+                              const std::string &OwnDomain,
+                              std::uint32_t &LastId) {
   bool MayBeKnown = !IsNew || P.Unlisted > 0;
   if (MayBeKnown) {
     auto Known =
--- a/src/upstream_feed.cpp
+++ b/src/upstream_feed.cpp
@@ -150,7 +150,7 @@
 }
 
 void UpstreamFeed::changed() {
-  UpstreamChanges Latest = std::exchange(Registry.Untold, {});
+  UpstreamChanges Latest = std::exchange(Registry.Unreported, {});
   logChanges(Latest);
   reportRestarts(Latest);
   for (const ChangeFn &Fn : Changes)
--- a/src/upstream_func.h
+++ b/src/upstream_func.h
@@ -45,7 +45,7 @@
 
 /// Records a call that was cancelled after \p Elapsed: it would have taken at
 /// least that long.
-void upstreamAbandoned(Upstream &U, Duration Elapsed, Duration Floor);
+void upstreamCancelled(Upstream &U, Duration Elapsed, Duration Floor);
 
 /// \return Whether every upstream of the pool has failed several times in a
 /// row, so that another call would most likely fail too.
@@ -62,8 +62,9 @@
 /// Adds or updates one listed upstream, without rebuilding the pool.
 /// \param IsNew whether it was not listed before.
 /// \return The upstream; invalidated when another one is added.
-Upstream &listUpstream(Pool &P, const UpstreamSpec &Spec, bool IsNew,
-                       const std::string &OwnDomain, std::uint32_t &LastId);
+Upstream &addOrUpdateUpstream(Pool &P, const UpstreamSpec &Spec, bool IsNew,
+                              const std::string &OwnDomain,
+                              std::uint32_t &LastId);
 
 /// Marks a start of an upstream as unlisted, and removes it if it has no calls
 /// in flight.
@@ -71,7 +72,7 @@
 
 /// Recomputes Upstream::Place after upstreams were listed or unlisted. Needed
 /// only by callers that read Upstream::Place.
-void numberPlaces(Pool &P);
+void updatePlaces(Pool &P);
 
 } // namespace fulmar
 
--- a/src/upstream_registry.cpp
+++ b/src/upstream_registry.cpp
@@ -85,13 +85,13 @@
     else
       Reported.Before = std::move(Found->second);
     Found->second = Entry;
-    Registry.Untold.push_back(std::move(Reported));
+    Registry.Unreported.push_back(std::move(Reported));
   }
   for (const std::string &Instance : Change.Gone) {
     auto Found = Registry.Entries.find(Instance);
     if (Found == Registry.Entries.end())
       continue;
-    Registry.Untold.push_back({std::move(Found->second), std::nullopt});
+    Registry.Unreported.push_back({std::move(Found->second), std::nullopt});
     Registry.Entries.erase(Found);
     Registry.Instances[bucketOf(Instance)].erase(Instance);
   }
@@ -226,7 +226,7 @@
 wholeRegistry(const UpstreamRegistry &Registry) {
   if (Registry.Entries.size() > MaxEntriesPerResponse)
     return std::nullopt;
-  RegistryChange Whole{EmptyRegistry, Registry.Digest, {}, {}, {}};
+  RegistryChange Whole{UnreadListDigest, Registry.Digest, {}, {}, {}};
   for (const auto &[Instance, Entry] : Registry.Entries)
     Whole.Listed.push_back(Entry);
   return Whole;
@@ -234,7 +234,7 @@
 
 std::optional<RegistryChange>
 registryChangesSince(const UpstreamRegistry &Registry, std::uint64_t From) {
-  if (From == EmptyRegistry)
+  if (From == UnreadListDigest)
     return wholeRegistry(Registry);
   auto Begins = [From](const RegistryChange &C) { return C.From == From; };
   // The latest one: the list may have had the same digest before.
@@ -263,7 +263,7 @@
                                     std::uint64_t From,
                                     const BucketDigests &Buckets) {
   RegistryChange Change{From, From, {}, {}, {}};
-  if (From == EmptyRegistry)
+  if (From == UnreadListDigest)
     Change.To = EmptyListDigest;
   for (std::size_t I = 0; I < RegistryBuckets; ++I) {
     if (Buckets[I] == Registry.Buckets[I])
--- a/src/upstream_registry.h
+++ b/src/upstream_registry.h
@@ -43,7 +43,7 @@
 };
 
 /// Digest of a list that was never read.
-inline constexpr std::uint64_t EmptyRegistry = 0;
+inline constexpr std::uint64_t UnreadListDigest = 0;
 /// Digest of a list that was read and is empty.
 inline constexpr std::uint64_t EmptyListDigest = 1;
 
@@ -69,12 +69,12 @@
   std::map<std::string, UpstreamEntry> Entries; ///< By instance.
   /// Instances in each bucket.
   std::array<std::set<std::string>, RegistryBuckets> Instances;
-  std::uint64_t Digest = EmptyRegistry; ///< The same for equal lists.
-  BucketDigests Buckets{};              ///< Digest of each bucket.
-  std::deque<RegistryChange> Latest;    ///< Recent changes, oldest first.
-  UpstreamChanges Untold;               ///< Changes not yet reported.
-  TimePoint ReadAt{};                   ///< Time of the latest read.
-  TimePoint OutageEndedAt{};            ///< End of the latest outage.
+  std::uint64_t Digest = UnreadListDigest; ///< The same for equal lists.
+  BucketDigests Buckets{};                 ///< Digest of each bucket.
+  std::deque<RegistryChange> Latest;       ///< Recent changes, oldest first.
+  UpstreamChanges Unreported;              ///< Changes not yet reported.
+  TimePoint ReadAt{};                      ///< Time of the latest read.
+  TimePoint OutageEndedAt{};               ///< End of the latest outage.
   /// When the store was restored from an older copy; zero: never.
   TimePoint RestoredAt{};
   std::map<std::string, GoneUpstream> Gone; ///< Left recently, by instance.
--- a/tests/test_cold.cpp
+++ b/tests/test_cold.cpp
@@ -198,8 +198,8 @@
   TimePoint Now{seconds(101)};
   WHEN("they exchange messages") {
     Duration Sent = fleetTime(Old, Now);
-    fleetTimeHeard(Old, fleetTime(Young, Now), Now);
-    fleetTimeHeard(Young, Sent, Now + milliseconds(2));
+    fleetTimeAdvance(Old, fleetTime(Young, Now), Now);
+    fleetTimeAdvance(Young, Sent, Now + milliseconds(2));
     THEN("the node that started later adopts the time of the other") {
       CHECK(fleetTime(Old, Now) == seconds(96));
       Duration Behind = fleetTime(Old, Now) - fleetTime(Young, Now);
@@ -207,7 +207,7 @@
     }
     THEN("a delayed message changes nothing") {
       Duration Before = fleetTime(Young, Now);
-      fleetTimeHeard(Young, Sent - seconds(5), Now);
+      fleetTimeAdvance(Young, Sent - seconds(5), Now);
       CHECK(fleetTime(Young, Now) == Before);
     }
   }
--- a/tests/test_domain_drain.cpp
+++ b/tests/test_domain_drain.cpp
@@ -248,11 +248,11 @@
     for (int I = 0; I < Heard; ++I) {
       auto Index = *rc::gen::inRange<std::size_t>(0, After.size());
       std::uint64_t Before = Known.Revision;
-      domainDrainTake(Known, After[Index]);
+      domainDrainMerge(Known, After[Index]);
       RC_ASSERT(Known.Revision >= Before);
       RC_ASSERT(Known == After[Known.Revision]);
     }
-    domainDrainTake(Known, After.back());
+    domainDrainMerge(Known, After.back());
     RC_ASSERT(Known == After.back());
   }));
 }
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -204,7 +204,7 @@
   }
   CHECK(Follower.Entries == Reader.Entries);
   THEN("a change of one entry is sent alone") {
-    Follower.Untold.clear();
+    Follower.Unreported.clear();
     UpstreamEntry Leaving = Named(7);
     Leaving.Leaving = true;
     std::uint64_t Before = Reader.Digest;
@@ -213,6 +213,6 @@
     REQUIRE(Change);
     CHECK(Change->Listed.size() == 1);
     CHECK(registryApply(Follower, *Change, TimePoint{3s}));
-    CHECK(Follower.Untold.size() == 1);
+    CHECK(Follower.Unreported.size() == 1);
   }
 }
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -304,7 +304,7 @@
   for (const std::string &Node : Nodes) {
     Subset S;
     S.Self = Node;
-    subsetNodes(S, Nodes);
+    updateSubsetNodes(S, Nodes);
     for (std::size_t I : chooseSubset(S, Listed, 32))
       ++NodesOfUpstream[I];
   }
@@ -315,14 +315,14 @@
   THEN("a node that leaves does not change another node's upstreams") {
     Subset S;
     S.Self = "n7";
-    subsetNodes(S, Nodes);
+    updateSubsetNodes(S, Nodes);
     auto Before = chooseSubset(S, Listed, 32);
     Nodes.erase(Nodes.begin() + 50);
-    subsetNodes(S, Nodes);
+    updateSubsetNodes(S, Nodes);
     auto After = chooseSubset(S, Listed, 32);
     Subset Rebuilt;
     Rebuilt.Self = "n7";
-    subsetNodes(Rebuilt, Nodes);
+    updateSubsetNodes(Rebuilt, Nodes);
     CHECK(chooseSubset(Rebuilt, Listed, 32) == After);
     std::vector<std::size_t> Same;
     std::set_intersection(Before.begin(), Before.end(), After.begin(),
