--- a/src/batch.cpp
+++ b/src/batch.cpp
@@ -45,7 +45,7 @@
 /// \return Whether some upstream is short of space for results.
 static bool isSpaceScarce(const BatchPool &P) {
   for (const auto &[Start, U] : P.Upstreams) {
-    if (U.SpaceUsed > P.Spec.RoomBytes * ScarceSpaceShare)
+    if (U.SpaceUsed > P.Spec.ResultSpaceBytes * ScarceSpaceShare)
       return true;
   }
   return false;
--- a/src/batch_send.cpp
+++ b/src/batch_send.cpp
@@ -262,7 +262,7 @@
     CallDraft Call;
     Call.MaxItems = MaxItems;
     Call.StartsImmediately = startsImmediately(*U, Now);
-    Call.SpaceLeft = P.Spec.RoomBytes * UsableSpaceShare - U->SpaceUsed;
+    Call.SpaceLeft = P.Spec.ResultSpaceBytes * UsableSpaceShare - U->SpaceUsed;
     fillCall(P, Order, *U, Call, Now);
     if (Call.Items.empty())
       continue;
--- a/src/entry_api.cpp
+++ b/src/entry_api.cpp
@@ -137,7 +137,7 @@
       {"fulmarstep_turns_lent_total", "counter",
        static_cast<double>(Gateway->metrics().TurnsLent)},
       {"fulmarstep_turns_kept_total", "counter",
-       static_cast<double>(Gateway->metrics().TurnsKept)},
+       static_cast<double>(Gateway->metrics().TurnsRefused)},
       {"fulmarstep_peer_messages_total", "counter",
        static_cast<double>(Peers.SentMessages)},
       {"fulmarstep_members", "gauge", static_cast<double>(Members->size())}};
--- a/src/forward_type.h
+++ b/src/forward_type.h
@@ -19,7 +19,7 @@
 };
 
 /// Metadata that a client sends with its request.
-struct ForwardAsk {
+struct ForwardRequestInfo {
   std::string RequestId;        ///< Unique for each try of the client.
   std::string Host;             ///< Selects the routes.
   std::string Key;              ///< API key of the organisation; may be empty.
@@ -33,7 +33,7 @@
 };
 
 /// Metadata that this node adds to a request that it passes on.
-struct ForwardSend {
+struct ForwardCallInfo {
   std::string Instance;        ///< Name of the addressed upstream.
   std::string Organisation;    ///< Owner of the request; empty: public route.
   Duration Left{};             ///< Time until the client gives up.
--- a/src/gateway_attempt.cpp
+++ b/src/gateway_attempt.cpp
@@ -73,7 +73,7 @@
                         None, /*Expired=*/false);
   }
   Upstream &U = P.Upstreams[*Index];
-  ForwardSend Send;
+  ForwardCallInfo Send;
   Send.Instance = U.Start.Instance;
   Send.Organisation = R->Organisation;
   Send.Left = R->ClientDeadline - Now;
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -66,7 +66,7 @@
 struct ForwardRequest {
   RequestSerial Serial;             ///< Identifies it on this node.
   HttpExchangePtr Exchange;         ///< Exchange with the client.
-  ForwardAsk Ask;                   ///< Metadata from the client.
+  ForwardRequestInfo Ask;           ///< Metadata from the client.
   RouteTablePtr Table;              ///< Configuration that it began under.
   const RouteSpec *Route = nullptr; ///< Points into Table.
   std::string Organisation;         ///< Owner; empty: public route.
--- a/src/gateway_retry.cpp
+++ b/src/gateway_retry.cpp
@@ -28,7 +28,7 @@
 /// \return The repeats that this node may make for a pool.
 RetryAllowance GatewayService::allowance(const std::string &Pool) const {
   RetryAllowance A = allowance();
-  A.Lot = retryNodeHash(Members->state().Self.Id, Pool);
+  A.NodeHash = retryNodeHash(Members->state().Self.Id, Pool);
   return A;
 }
 
@@ -36,7 +36,7 @@
 std::string GatewayService::retryOwner(const std::string &Pool) {
   RetryAllowance Theirs = allowance();
   for (const std::string &Node : Members->randomIds(MaxSearchedMembers)) {
-    Theirs.Lot = retryNodeHash(Node, Pool);
+    Theirs.NodeHash = retryNodeHash(Node, Pool);
     if (retryShare(Theirs) >= 1)
       return Node;
   }
@@ -48,7 +48,7 @@
 /// \return Whether the request waits for the answer.
 bool GatewayService::askForRetry(ForwardRequest &R, AttemptFacts Facts,
                                  const HttpAnswer &Answer) {
-  if (Facts.Budget || R.RetryAsked || !retrySharesSmall(allowance()))
+  if (Facts.Budget || R.RetryAsked || !retryShareBelowOne(allowance()))
     return false;
   Facts.Budget = true;
   if (attemptDecisionAfter(Facts) != AttemptDecision::Retry)
--- a/src/gateway_turns.cpp
+++ b/src/gateway_turns.cpp
@@ -91,7 +91,7 @@
       Answer.Lent = true;
     }
   }
-  ++(Answer.Lent ? Metrics.TurnsLent : Metrics.TurnsKept);
+  ++(Answer.Lent ? Metrics.TurnsLent : Metrics.TurnsRefused);
   Peers->sendTo(From, Answer);
 }
 
--- a/src/retry_window.h
+++ b/src/retry_window.h
@@ -17,8 +17,8 @@
   double Extra = 0;   ///< Further repeats of the whole fleet in a window.
   Duration Window = std::chrono::seconds(10); ///< Length of the sliding window.
   double Nodes = 1;                           ///< Live nodes that share Extra.
-  double Lot = 0; ///< Hash of this node and the pool, from 0 to 1; see
-                  ///< retryShare().
+  double NodeHash = 0; ///< Hash of this node and the pool, from 0 to 1; see
+                       ///< retryShare().
 };
 
 /// Fraction of the allowance that nodes use. Nodes count requests and repeats
@@ -36,11 +36,11 @@
   double Share = RetryUsableFraction * A.Extra / (A.Nodes < 1 ? 1 : A.Nodes);
   if (Share >= 1)
     return Share;
-  return A.Lot < Share ? 1 : 0;
+  return A.NodeHash < Share ? 1 : 0;
 }
 
 /// \return Whether a node's share is less than one repeat.
-inline bool retrySharesSmall(const RetryAllowance &A) {
+inline bool retryShareBelowOne(const RetryAllowance &A) {
   return RetryUsableFraction * A.Extra < A.Nodes;
 }
 
--- a/src/route_type.h
+++ b/src/route_type.h
@@ -65,13 +65,13 @@
 
 /// A pool whose upstreams work on batches of pieces.
 struct BatchSpec {
-  int Slots = 1;         ///< Calls that one upstream runs at once.
-  int Waiting = 0;       ///< Queue capacity of one upstream, in calls.
-  int MaxPieces = 1;     ///< Most pieces in one call.
-  Duration CallTime{};   ///< Fixed time of a call, without its pieces.
-  Duration PieceTime{};  ///< Approximate time that each piece adds.
-  double RoomBytes = 0;  ///< Space for results at one upstream.
-  Duration ResultLife{}; ///< How long an upstream keeps a result.
+  int Slots = 1;               ///< Calls that one upstream runs at once.
+  int Waiting = 0;             ///< Queue capacity of one upstream, in calls.
+  int MaxPieces = 1;           ///< Most pieces in one call.
+  Duration CallTime{};         ///< Fixed time of a call, without its pieces.
+  Duration PieceTime{};        ///< Approximate time that each piece adds.
+  double ResultSpaceBytes = 0; ///< Space for results at one upstream.
+  Duration ResultLife{};       ///< How long an upstream keeps a result.
 };
 
 /// A pool of model engines.
@@ -140,13 +140,13 @@
   std::string FailureDomain; ///< Failure domain that it runs in.
   int Slots = 1;             ///< Requests that it can run at once.
   bool Leaving = false;      ///< Gets no new requests.
-  Duration ColdFor{};        ///< Time until it is warm; zero: it is.
+  Duration ColdRemaining{};  ///< Time until it is warm; zero: it is.
   std::int64_t BornMs = 0;   ///< Unix time of its start, ms; 0: unknown.
 
   bool operator==(const UpstreamEntry &) const = default;
 
   /// \return Whether it has just started and has reduced capacity.
-  bool cold() const { return ColdFor > Duration::zero(); }
+  bool cold() const { return ColdRemaining > Duration::zero(); }
   /// \return The start of the upstream that this entry describes.
   Incarnation incarnation() const { return {Instance, BornMs}; }
 };
--- a/src/wire_format.h
+++ b/src/wire_format.h
@@ -41,10 +41,10 @@
                                                     std::string &Why) const = 0;
 
   /// Reads the headers that describe a client's request.
-  virtual ForwardAsk readAsk(const HttpExchange &Exchange) const = 0;
+  virtual ForwardRequestInfo readAsk(const HttpExchange &Exchange) const = 0;
   /// Writes the call that forwards a request; the caller sets its address.
   virtual HttpCall writeSend(const HttpExchange &Exchange,
-                             const ForwardSend &Send) const = 0;
+                             const ForwardCallInfo &Send) const = 0;
   /// Reads the head of an upstream's response.
   virtual ForwardReply readReply(const HttpAnswer &Answer) const = 0;
   /// \return The headers of an upstream's response that are passed to the
--- a/tests/batch_world.h
+++ b/tests/batch_world.h
@@ -39,7 +39,7 @@
     Spec.MaxPieces = 24;
     Spec.CallTime = std::chrono::milliseconds(240);
     Spec.PieceTime = Duration(8600);
-    Spec.RoomBytes = 2.6e6;
+    Spec.ResultSpaceBytes = 2.6e6;
     Spec.ResultLife = std::chrono::seconds(4);
     return Spec;
   }
--- a/tests/fuzz/fuzz_readers.cpp
+++ b/tests/fuzz/fuzz_readers.cpp
@@ -21,7 +21,7 @@
   if (Entry.has_value() != Why.empty())
     std::abort();
   if (Entry && (Entry->Address.empty() || Entry->Pool.empty() ||
-                Entry->Slots < 1 || Entry->ColdFor < Duration::zero()))
+                Entry->Slots < 1 || Entry->ColdRemaining < Duration::zero()))
     std::abort();
 }
 
--- a/tests/test_batch.cpp
+++ b/tests/test_batch.cpp
@@ -57,7 +57,7 @@
   BatchSpec Spec = PoolWorld::ledgerSpec();
   Spec.MaxPieces = 40;
   Spec.PieceTime = Duration(5100);
-  Spec.RoomBytes = 1e9;
+  Spec.ResultSpaceBytes = 1e9;
   PoolWorld W(8, Spec);
   Random Rng(7);
   std::map<std::uint64_t, TimePoint> Asked;
@@ -178,7 +178,7 @@
   Spec.MaxPieces = 58;
   Spec.CallTime = milliseconds(150);
   Spec.PieceTime = Duration(2200);
-  Spec.RoomBytes = 1e9;
+  Spec.ResultSpaceBytes = 1e9;
   Spec.ResultLife = seconds(4);
   PoolWorld W(5, Spec);
   std::map<std::uint64_t, std::pair<int, TimePoint>> Asked;
@@ -215,7 +215,7 @@
   // first pieces of many requests occupied the space, so that none of them
   // could complete.
   BatchSpec Spec = PoolWorld::ledgerSpec();
-  Spec.RoomBytes = 1.2e6; // 18 results.
+  Spec.ResultSpaceBytes = 1.2e6; // 18 results.
   PoolWorld W(1, Spec);
   for (int I = 0; I < 6; ++I) {
     BatchRequest Request = W.makeBatchRequest(8);
@@ -429,7 +429,7 @@
   Spec.MaxPieces = 96;
   Spec.CallTime = milliseconds(150);
   Spec.PieceTime = Duration(1300);
-  Spec.RoomBytes = 1e9;
+  Spec.ResultSpaceBytes = 1e9;
   Spec.ResultLife = seconds(4);
   PoolWorld W(6, Spec);
   Random Rng(3);
--- a/tests/test_cold.cpp
+++ b/tests/test_cold.cpp
@@ -227,19 +227,19 @@
     return Change && registryApply(Listener, *Change, Now);
   };
   REQUIRE(Tell());
-  Entry.ColdFor = seconds(3);
+  Entry.ColdRemaining = seconds(3);
   registryRead(Reader, {Entry}, Now + seconds(1));
   REQUIRE(Reader.Digest != Listener.Digest);
   REQUIRE(Tell());
   CHECK(Listener.Entries.at("a").cold());
   WHEN("the time for which it is cold has decreased") {
     std::uint64_t Digest = Reader.Digest;
-    Entry.ColdFor = seconds(2);
+    Entry.ColdRemaining = seconds(2);
     registryRead(Reader, {Entry}, Now + seconds(2));
     THEN("the list counts as unchanged") { CHECK(Reader.Digest == Digest); }
   }
   WHEN("it is warm") {
-    Entry.ColdFor = Duration::zero();
+    Entry.ColdRemaining = Duration::zero();
     registryRead(Reader, {Entry}, Now + seconds(3));
     REQUIRE(Tell());
     CHECK_FALSE(Listener.Entries.at("a").cold());
--- a/tests/test_entries.cpp
+++ b/tests/test_entries.cpp
@@ -116,7 +116,7 @@
     RC_ASSERT(Read->Slots >= 1);
     RC_ASSERT(!Read->Pool.empty());
     RC_ASSERT(Read->Address.find(':') != std::string::npos);
-    RC_ASSERT(Read->ColdFor >= Duration::zero());
+    RC_ASSERT(Read->ColdRemaining >= Duration::zero());
     RC_ASSERT(Read->BornMs >= 0);
   }));
 }
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -87,7 +87,8 @@
   Random Rng(Size);
   std::vector<RetryWindow> Windows(Size);
   auto Allows = [&](std::size_t Node, TimePoint Now) {
-    A.Lot = static_cast<double>(hash64(std::to_string(Node)) >> 11) * 0x1.0p-53;
+    A.NodeHash =
+        static_cast<double>(hash64(std::to_string(Node)) >> 11) * 0x1.0p-53;
     if (!retryWindowAllows(Windows[Node], A, Now))
       return false;
     retryWindowRepeat(Windows[Node], Now);
@@ -102,11 +103,11 @@
     std::size_t Node = randomIndex(Rng, Size);
     ++Wanted;
     bool Own = Allows(Node, Now);
-    if (!Own && retrySharesSmall(A)) {
+    if (!Own && retryShareBelowOne(A)) {
       std::size_t Owner = randomIndex(Rng, Size);
       for (int Draw = 0; Draw < 16; ++Draw) {
-        A.Lot = static_cast<double>(hash64(std::to_string(Owner)) >> 11) *
-                0x1.0p-53;
+        A.NodeHash = static_cast<double>(hash64(std::to_string(Owner)) >> 11) *
+                     0x1.0p-53;
         if (retryShare(A) >= 1)
           break;
         Owner = randomIndex(Rng, Size);
@@ -125,7 +126,8 @@
   CHECK(MostInWindow <= 1040);
   double Shares = 0;
   for (std::size_t I = 0; I < Size; ++I) {
-    A.Lot = static_cast<double>(hash64(std::to_string(I)) >> 11) * 0x1.0p-53;
+    A.NodeHash =
+        static_cast<double>(hash64(std::to_string(I)) >> 11) * 0x1.0p-53;
     Shares += retryShare(A);
   }
   CHECK(Shares < 0.8 * 1040);
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -164,7 +164,7 @@
     CHECK_FALSE(Route.Stages[0].Final);
     CHECK(Route.Stages[1].Final);
     CHECK(Route.repeatable());
-    CHECK(findService(*Table, "s")->Batch->RoomBytes == 1.5e6);
+    CHECK(findService(*Table, "s")->Batch->ResultSpaceBytes == 1.5e6);
     CHECK(findOrganisation(*Table, "k")->Priority == 3);
   }
   GIVEN("invalid configurations") {
@@ -187,7 +187,7 @@
                         {"X-Pieces", "0,3"},
                         {"Authorization", "Bearer key"},
                         {"Last-Event-Id", "12"}};
-    ForwardAsk Ask = Wire.readAsk(Exchange);
+    ForwardRequestInfo Ask = Wire.readAsk(Exchange);
     CHECK(Ask.Host == "h");
     CHECK(Ask.RequestId == "r1");
     CHECK(Ask.Left == Duration(milliseconds(1500)));
