--- a/src/demand.cpp
+++ b/src/demand.cpp
@@ -36,8 +36,8 @@
   return Best;
 }
 
-double demandReported(Demand &D, const std::string &Organisation,
-                      const std::string &Node, double Rate, TimePoint Now) {
+double demandAddReport(Demand &D, const std::string &Organisation,
+                       const std::string &Node, double Rate, TimePoint Now) {
   auto &Nodes = D.Reports[Organisation];
   Nodes[Node] = {Rate, Now};
   double Total = 0;
@@ -48,13 +48,13 @@
   return Total;
 }
 
-void demandTotal(Demand &D, const std::string &Organisation, double Total,
-                 TimePoint Now) {
+void demandSetTotal(Demand &D, const std::string &Organisation, double Total,
+                    TimePoint Now) {
   D.Totals[Organisation] = {Total, Now};
 }
 
-bool demandDue(Demand &D, const std::string &Organisation, double Rate,
-               TimePoint Now) {
+bool demandReportDue(Demand &D, const std::string &Organisation, double Rate,
+                     TimePoint Now) {
   auto Found = D.LastSent.find(Organisation);
   bool Fresh = Found == D.LastSent.end();
   if (Fresh && Rate < MinReportedRate)
--- a/src/demand_func.h
+++ b/src/demand_func.h
@@ -17,18 +17,18 @@
 
 /// Handles a node's demand report; this node is the aggregator.
 /// \return The organisation's total rate, to be sent back to the node.
-double demandReported(Demand &D, const std::string &Organisation,
-                      const std::string &Node, double Rate, TimePoint Now);
+double demandAddReport(Demand &D, const std::string &Organisation,
+                       const std::string &Node, double Rate, TimePoint Now);
 
 /// Handles a total received from the aggregator of \p Organisation.
-void demandTotal(Demand &D, const std::string &Organisation, double Total,
-                 TimePoint Now);
+void demandSetTotal(Demand &D, const std::string &Organisation, double Total,
+                    TimePoint Now);
 
 /// Decides whether \p Rate is to be reported now: it has changed significantly,
 /// or the report interval has passed. If so, marks it as sent.
 /// \return Whether to report it.
-bool demandDue(Demand &D, const std::string &Organisation, double Rate,
-               TimePoint Now);
+bool demandReportDue(Demand &D, const std::string &Organisation, double Rate,
+                     TimePoint Now);
 
 /// \return This node's share of a rate limit, from 0 to 1.
 /// \param Nodes number of live nodes, for an even share while no total is
--- a/src/demand_service.cpp
+++ b/src/demand_service.cpp
@@ -21,12 +21,12 @@
   Members = &Services.find<MemberService>(service::Members);
   Peers->on<DemandReport>([this](const PeerMessage &Message,
                                  const DemandReport &Report) {
-    double Total = demandReported(State, Report.Organisation, Message.Sender,
-                                  Report.Rate, Timers->now());
+    double Total = demandAddReport(State, Report.Organisation, Message.Sender,
+                                   Report.Rate, Timers->now());
     Peers->sendTo(Message.Sender, DemandTotal{Report.Organisation, Total});
   });
   Peers->on<DemandTotal>([this](const PeerMessage &, const DemandTotal &T) {
-    demandTotal(State, T.Organisation, T.Rate, Timers->now());
+    demandSetTotal(State, T.Organisation, T.Rate, Timers->now());
   });
   Timers->every(Period, [this] { tick(); });
 }
@@ -35,8 +35,8 @@
   std::string Aggregator = demandAggregator(Organisation, Members->ids());
   if (Aggregator == Self || Aggregator.empty()) {
     double Total =
-        demandReported(State, Organisation, Self, Rate, Timers->now());
-    demandTotal(State, Organisation, Total, Timers->now());
+        demandAddReport(State, Organisation, Self, Rate, Timers->now());
+    demandSetTotal(State, Organisation, Total, Timers->now());
     return;
   }
   Peers->sendTo(Aggregator, DemandReport{Organisation, Rate});
@@ -52,12 +52,12 @@
   Routing.EvenShare =
       1.0 / static_cast<double>(std::max<std::size_t>(1, Nodes));
   for (const OrganisationSpec &Spec : Routing.InForce->Organisations) {
-    auto Found = Routing.Payers.find(Spec.Name);
-    if (Spec.RateLimit <= 0 || Found == Routing.Payers.end())
+    auto Found = Routing.OrganisationIds.find(Spec.Name);
+    if (Spec.RateLimit <= 0 || Found == Routing.OrganisationIds.end())
       continue;
     RateBucket &Bucket = Routing.Rates[Found->second];
     double Rate = arrivalRate(Bucket, Now);
-    if (demandDue(State, Spec.Name, Rate, Now))
+    if (demandReportDue(State, Spec.Name, Rate, Now))
       report(Spec.Name, Rate);
     Bucket.Share = demandShare(State, Spec.Name, Rate, Nodes, Now);
   }
--- a/src/drain_service.cpp
+++ b/src/drain_service.cpp
@@ -69,10 +69,10 @@
     return;
   Phase = Next;
   if (Phase == DrainPhase::Closing)
-    Router->refuseNew();
+    Router->startDraining();
   if (Phase != DrainPhase::Done)
     return;
-  Router->refuseNew();
+  Router->startDraining();
   Members->goodbye();
   logEvent(View.Requests > 0 ? LogLevel::Error : LogLevel::Info, "stop_done",
            {{"cut_off", View.Requests}});
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -15,8 +15,9 @@
 
 OrganisationId organisationIdOf(RouterState &State,
                                 const std::string &Organisation) {
-  auto Next = OrganisationId{static_cast<std::uint32_t>(State.Payers.size())};
-  return State.Payers.try_emplace(Organisation, Next).first->second;
+  auto Next =
+      OrganisationId{static_cast<std::uint32_t>(State.OrganisationIds.size())};
+  return State.OrganisationIds.try_emplace(Organisation, Next).first->second;
 }
 
 bool effectPending(const Request &R) {
--- a/src/router_base.h
+++ b/src/router_base.h
@@ -129,7 +129,7 @@
   std::unordered_map<AttemptId, Attempt> Attempts;     ///< In progress.
   std::map<std::string, Pool>
       Pools; ///< By name; never removed, as calls refer to them.
-  std::unordered_map<std::string, OrganisationId> Payers; ///< By name.
+  std::unordered_map<std::string, OrganisationId> OrganisationIds; ///< By name.
   /// Even share of the fleet-wide limits, used while demand is unknown.
   double EvenShare = 1;
   std::unordered_map<OrganisationId, RateBucket> Rates; ///< By organisation.
--- a/src/router_service.cpp
+++ b/src/router_service.cpp
@@ -84,7 +84,7 @@
   feed([&](RouterActions &Out) { hostListChanged(State, Listed, now(), Out); });
 }
 
-void RouterService::refuseNew() { State.Draining = true; }
+void RouterService::startDraining() { State.Draining = true; }
 
 /// Performs actions in order. Actions that one of them causes synchronously, as
 /// when a caller's connection breaks on a response, are performed after them.
--- a/src/router_service.h
+++ b/src/router_service.h
@@ -49,7 +49,7 @@
   /// Sets the upstreams that this node uses.
   void upstreams(std::vector<UpstreamSpec> Listed);
   /// Starts refusing new requests.
-  void refuseNew();
+  void startDraining();
 
   /// \return The state, for status pages and metrics.
   const RouterState &state() const { return State; }
--- a/tests/test_api.cpp
+++ b/tests/test_api.cpp
@@ -335,8 +335,9 @@
       R"({"organisation":"paraiba-turnos","pipeline":"coverage","input":"x"})";
   auto Share = [&] {
     const RouterState &R = S.Nodes[0]->router().state();
-    auto Payer = R.Payers.find("paraiba-turnos");
-    return Payer == R.Payers.end() ? 0 : R.Rates.at(Payer->second).Share;
+    auto Payer = R.OrganisationIds.find("paraiba-turnos");
+    return Payer == R.OrganisationIds.end() ? 0
+                                            : R.Rates.at(Payer->second).Share;
   };
   S.waitFor([&] { return S.Nodes[0]->router().state().EvenShare < 0.4; });
   CHECK(S.code(S.post(RateLimitedBody)) == 1000);
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -412,18 +412,18 @@
   Demand D;
   TimePoint Now(1s);
   CHECK(demandShare(D, "o", 5, 10, Now) == Approx(0.1));
-  demandReported(D, "o", "a", 30, Now);
-  CHECK(demandReported(D, "o", "b", 10, Now) == Approx(40));
-  demandTotal(D, "o", 40, Now);
+  demandAddReport(D, "o", "a", 30, Now);
+  CHECK(demandAddReport(D, "o", "b", 10, Now) == Approx(40));
+  demandSetTotal(D, "o", 40, Now);
   CHECK(demandShare(D, "o", 30, 10, Now) == Approx(0.75));
   THEN("a total that is not updated expires") {
     CHECK(demandShare(D, "o", 30, 10, Now + 20s) == Approx(0.1));
   }
   THEN("a rate that changed little is not reported again at once") {
-    CHECK(demandDue(D, "o", 30, Now));
-    CHECK_FALSE(demandDue(D, "o", 31, Now));
-    CHECK(demandDue(D, "o", 60, Now));
-    CHECK(demandDue(D, "o", 60, Now + 6s));
+    CHECK(demandReportDue(D, "o", 30, Now));
+    CHECK_FALSE(demandReportDue(D, "o", 31, Now));
+    CHECK(demandReportDue(D, "o", 60, Now));
+    CHECK(demandReportDue(D, "o", 60, Now + 6s));
   }
 }
 
