--- a/src/bench/quarantine_model.cpp
+++ b/src/bench/quarantine_model.cpp
@@ -150,7 +150,7 @@
       return;
     std::vector<std::string> To = Way == QuarantineSharing::All
                                       ? Ids
-                                      : quarantineJudges(Run.Content, Ids);
+                                      : quarantineArbiters(Run.Content, Ids);
     for (const std::string &Name : To) {
       std::size_t Node = std::stoul(Name);
       if (Node != Run.Node)
@@ -174,7 +174,7 @@
     QuarantineNotice Notice = quarantineNotice(Nodes[From], Content, Now);
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
       if (I != From)
-        deliver([this, I, Notice] { quarantineTake(Nodes[I], Notice, Now); });
+        deliver([this, I, Notice] { quarantineMerge(Nodes[I], Notice, Now); });
     }
   }
 
@@ -187,7 +187,7 @@
         for (int I = 0; I < ReannounceFanout; ++I) {
           std::size_t To = randomIndex(Rng, Nodes.size());
           deliver(
-              [this, To, Notice] { quarantineTake(Nodes[To], Notice, Now); });
+              [this, To, Notice] { quarantineMerge(Nodes[To], Notice, Now); });
         }
       }
     }
--- a/src/drain_service.cpp
+++ b/src/drain_service.cpp
@@ -73,7 +73,7 @@
   if (Phase != DrainPhase::Done)
     return;
   Router->startDraining();
-  Members->goodbye();
+  Members->announceStop();
   logEvent(View.Requests > 0 ? LogLevel::Error : LogLevel::Info, "stop_done",
            {{"cut_off", View.Requests}});
   Loop->stop();
--- a/src/gateway_node.cpp
+++ b/src/gateway_node.cpp
@@ -120,7 +120,7 @@
   View.Requests = gateway().requests() + gateway().unsentAnswers();
   if (drainPhase(View, Timers.now()) != DrainPhase::Done)
     return;
-  Services.find<MemberService>(service::Members).goodbye();
+  Services.find<MemberService>(service::Members).announceStop();
   logEvent(View.Requests > 0 ? LogLevel::Error : LogLevel::Info, "stop_done",
            {{"cut_off", View.Requests}});
   Loop.stop();
--- a/src/gateway_service.cpp
+++ b/src/gateway_service.cpp
@@ -67,7 +67,8 @@
       [this](const PeerMessage &, const RetryAnswer &Answer) {
         retryAnswered(Answer);
       });
-  Quarantined->onHeld([this](Fingerprint Content) { endQuarantined(Content); });
+  Quarantined->onQuarantined(
+      [this](Fingerprint Content) { endQuarantined(Content); });
   Routes->onChange([this] { configChanged(); });
   Upstreams->onRestart(
       [this](const UpstreamRestart &Restart) { upstreamRestarted(Restart); });
--- a/src/member.cpp
+++ b/src/member.cpp
@@ -77,23 +77,23 @@
 
 /// Queues the state of a member for gossip.
 static void queueUpdate(Membership &M, const std::string &Id, Member &Other) {
-  M.News.erase({Other.SendsLeft, Id});
+  M.PendingUpdates.erase({Other.SendsLeft, Id});
   Other.SendsLeft = transmissionsPerUpdate(M);
-  M.News.insert({Other.SendsLeft, Id});
+  M.PendingUpdates.insert({Other.SendsLeft, Id});
 }
 
 /// Adds pending updates, the least often sent first, and random entries to fill
 /// up. The cost depends on what is sent, not on the number of pending updates.
 static void addUpdates(Membership &M, MemberMessage &Message) {
   std::vector<UpdateRank> Sent;
-  while (Sent.size() < UpdatesPerMessage && !M.News.empty())
-    Sent.push_back(M.News.extract(M.News.begin()).value());
+  while (Sent.size() < UpdatesPerMessage && !M.PendingUpdates.empty())
+    Sent.push_back(M.PendingUpdates.extract(M.PendingUpdates.begin()).value());
   for (UpdateRank &Rank : Sent) {
     Member &Other = M.Members.at(Rank.Id);
     Message.Updates.push_back(Other.Info);
     Other.SendsLeft = --Rank.Left;
     if (Rank.Left > 0)
-      M.News.insert(std::move(Rank));
+      M.PendingUpdates.insert(std::move(Rank));
   }
   std::size_t Size = Sent.size();
   for (std::size_t I = Size; I < RandomEntriesPerMessage && !M.Ids.empty();
@@ -357,7 +357,7 @@
                    Now - Entry.second.Since > DeadRetention;
     if (Expired) {
       ++M.Changes;
-      M.News.erase({Entry.second.SendsLeft, Entry.first});
+      M.PendingUpdates.erase({Entry.second.SendsLeft, Entry.first});
       std::erase(M.Ids, Entry.first);
     }
     return Expired;
--- a/src/member_base.h
+++ b/src/member_base.h
@@ -63,7 +63,7 @@
   MemberInfo Self;                       ///< This node.
   std::map<std::string, Member> Members; ///< Other nodes, by id.
   std::set<HostPort> Seeds;              ///< Peer addresses to join through.
-  std::set<UpdateRank> News;             ///< Least often sent first.
+  std::set<UpdateRank> PendingUpdates;   ///< Least often sent first.
   std::vector<std::string> Ids; ///< All members, unordered, for random draws.
   Duration Period = std::chrono::seconds(1); ///< Interval between probes.
   Duration Timeout = std::chrono::milliseconds(300); ///< Of a direct probe.
--- a/src/member_service.cpp
+++ b/src/member_service.cpp
@@ -99,7 +99,7 @@
   perform(Out);
 }
 
-void MemberService::goodbye() {
+void MemberService::announceStop() {
   MemberActions Out;
   memberStop(State, Timers->now(), Out);
   perform(Out);
--- a/src/member_service.h
+++ b/src/member_service.h
@@ -42,7 +42,7 @@
   /// Announces that this node is about to stop.
   void leaving();
   /// Announces that this node stops now.
-  void goodbye();
+  void announceStop();
   /// Announces whether callers should be sent to this node, and whether it can
   /// read the key-value service.
   void fitness(bool Fit, bool CanRead);
--- a/src/micro/micro.cpp
+++ b/src/micro/micro.cpp
@@ -221,7 +221,7 @@
   for (std::size_t I = 1; I <= Members; ++I)
     All.Updates.push_back(memberInfo(I));
   memberReceived(*M, All, TimePoint{}, Out);
-  M->News.clear();
+  M->PendingUpdates.clear();
   MemberMessage Ping;
   Ping.Kind = MemberMessageKind::Ping;
   Ping.Target = M->Self.Id;
--- a/src/quarantine.cpp
+++ b/src/quarantine.cpp
@@ -112,8 +112,8 @@
   return Notice.Lifted && !Known.Lifted;
 }
 
-QuarantineChange quarantineTake(Quarantine &Q, const QuarantineNotice &Notice,
-                                TimePoint Now) {
+QuarantineChange quarantineMerge(Quarantine &Q, const QuarantineNotice &Notice,
+                                 TimePoint Now) {
   auto Found = Q.Entries.find(Notice.Content);
   bool Known = Found != Q.Entries.end();
   if (Known && !supersedes(Found->second, Notice))
@@ -184,8 +184,8 @@
   });
 }
 
-std::vector<std::string> quarantineJudges(Fingerprint Content,
-                                          const std::vector<std::string> &Ids) {
+std::vector<std::string>
+quarantineArbiters(Fingerprint Content, const std::vector<std::string> &Ids) {
   std::vector<std::string> Arbiters = Ids;
   std::size_t Size = std::min(ArbiterCount, Arbiters.size());
   auto Heavier = [Key = Content.Value](const auto &A, const auto &B) {
--- a/src/quarantine_func.h
+++ b/src/quarantine_func.h
@@ -32,8 +32,8 @@
 bool quarantineLift(Quarantine &Q, Fingerprint Content, TimePoint Now);
 
 /// Merges the decision of another node, or of the key-value service.
-QuarantineChange quarantineTake(Quarantine &Q, const QuarantineNotice &Notice,
-                                TimePoint Now);
+QuarantineChange quarantineMerge(Quarantine &Q, const QuarantineNotice &Notice,
+                                 TimePoint Now);
 
 /// \return Remaining time of the request's quarantine, or nullopt.
 std::optional<Duration> quarantineLeft(const Quarantine &Q, Fingerprint Content,
@@ -58,8 +58,8 @@
 /// receive a message for each request in flight at a crashed upstream. There
 /// are two, so that one of them may fail together with the reports it has
 /// received.
-std::vector<std::string> quarantineJudges(Fingerprint Content,
-                                          const std::vector<std::string> &Ids);
+std::vector<std::string>
+quarantineArbiters(Fingerprint Content, const std::vector<std::string> &Ids);
 
 /// \return The record of a quarantine for the key-value service.
 std::string quarantineRecord(const QuarantineNotice &Notice, WallMs Wall);
--- a/src/quarantine_service.cpp
+++ b/src/quarantine_service.cpp
@@ -70,7 +70,7 @@
   std::vector<std::string> Ids = Members->ids();
   std::map<std::string, CrashReport> Reports;
   for (Fingerprint Content : Requests) {
-    for (const std::string &Arbiter : quarantineJudges(Content, Ids)) {
+    for (const std::string &Arbiter : quarantineArbiters(Content, Ids)) {
       Reports[Arbiter].Upstream = Name;
       Reports[Arbiter].Requests.push_back(Content);
     }
@@ -117,7 +117,7 @@
 void QuarantineService::merge(const QuarantineNotice &Notice,
                               const std::string &From) {
   std::string Source = From.empty() ? "store" : From;
-  switch (quarantineTake(State, Notice, Timers->now())) {
+  switch (quarantineMerge(State, Notice, Timers->now())) {
   case QuarantineChange::Held:
     // The node that writes the record may not have received the reports.
     if (!From.empty())
@@ -196,7 +196,8 @@
     return;
   Fingerprint Content = *Unsaved.begin();
   auto Left = left(Content);
-  std::vector<std::string> Arbiters = quarantineJudges(Content, Members->ids());
+  std::vector<std::string> Arbiters =
+      quarantineArbiters(Content, Members->ids());
   bool First =
       !Arbiters.empty() && Arbiters.front() == Members->state().Self.Id;
   if (!Left || !First) {
--- a/src/quarantine_service.h
+++ b/src/quarantine_service.h
@@ -44,7 +44,7 @@
   /// \return Number of known crashes of upstreams that ran a request.
   int crashes(Fingerprint Content) const;
   /// Calls \p Fn soon after a request is quarantined.
-  void onHeld(std::function<void(Fingerprint)> Fn) {
+  void onQuarantined(std::function<void(Fingerprint)> Fn) {
     Subscriber = std::move(Fn);
   }
 
--- a/src/route_feed.cpp
+++ b/src/route_feed.cpp
@@ -72,7 +72,7 @@
   Tree = &Services.find<KvTree>(service::Kv);
   Readers = &Services.find<StateSyncService>(service::StateSync);
   Readers->onSync([this](const StateSync &Heard) { handleSync(Heard); });
-  Readers->onConfig([this](const ConfigHeard &Heard) { handleCopy(Heard); });
+  Readers->onConfig([this](const ReceivedConfig &Heard) { handleCopy(Heard); });
   Services.find<KvEpochs>(service::Kv).onEpoch([this](std::uint64_t) {
     ConfirmFrom = Timers->now() + RestoreTime;
   });
@@ -84,7 +84,7 @@
   if (std::exchange(Started, true))
     return;
   resetOwnReadDelay();
-  if (Readers->reads() || !Readers->leavesReading())
+  if (Readers->reads() || !Readers->delegatesReading())
     return read();
   Readers->ask();
   scheduleFallback(FirstReadDelay);
@@ -101,7 +101,7 @@
 
 /// Asks a reader again or reads the service, as no update has come in time.
 void RouteFeed::fallbackDue() {
-  bool Own = Readers->reads() || !Readers->leavesReading() ||
+  bool Own = Readers->reads() || !Readers->delegatesReading() ||
              Timers->now() - OwnReadDelayStart > OwnReadDelay;
   if (Own)
     return read();
@@ -194,7 +194,7 @@
     return;
   if (Heard.Answer.ConfigVersion > Mine)
     return fetch();
-  confirm(Heard.AskedBoot - Heard.Answer.ConfigAge);
+  confirm(Heard.SentBoot - Heard.Answer.ConfigAge);
   awaitUpdate();
 }
 
@@ -210,14 +210,14 @@
   scheduleFallback(CopyTimeout);
 }
 
-void RouteFeed::handleCopy(const ConfigHeard &Heard) {
+void RouteFeed::handleCopy(const ReceivedConfig &Heard) {
   if (!Fetching || Heard.Copy.Age > MaxSyncedAge)
     return;
   Fetching = false;
   applyConfig(Heard.Copy.Text);
   if (!Table || Table->Version != Heard.Copy.Version)
     return;
-  confirm(Heard.AskedBoot - Heard.Copy.Age);
+  confirm(Heard.SentBoot - Heard.Copy.Age);
   awaitUpdate();
 }
 
@@ -275,7 +275,7 @@
   if (Failures == 1)
     FailingSince = Timers->now();
   // Other nodes may still get updates.
-  if (Readers->leavesReading())
+  if (Readers->delegatesReading())
     resetOwnReadDelay();
   ProbeAt =
       Timers->now() + fromMs(toMs(ProbeInterval) * (0.5 + randomUnit(Rng)));
@@ -302,7 +302,7 @@
             {"keys", Next->ByKey.size()},
             {"bytes", Value.size()}});
   Table = std::move(Next);
-  bool Given = Readers->leavesReading() || Value.size() <= MaxCopyBytes;
+  bool Given = Readers->delegatesReading() || Value.size() <= MaxCopyBytes;
   Text = Given ? Value : std::string();
   notifySubscribers();
 }
--- a/src/route_feed.h
+++ b/src/route_feed.h
@@ -61,7 +61,7 @@
   void scheduleFallback(Duration Pause);
   void handleSync(const StateSync &Heard);
   void fetch();
-  void handleCopy(const ConfigHeard &Heard);
+  void handleCopy(const ReceivedConfig &Heard);
   void retry(const std::string &Why);
   void readSucceeded();
   void applyConfig(const std::string &Value);
--- a/src/state_sync_service.cpp
+++ b/src/state_sync_service.cpp
@@ -83,7 +83,7 @@
     if (!Pending)
       return; // Response to an earlier request: its age would be too small.
     for (const ConfigFn &Fn : ConfigSubscribers)
-      Fn(ConfigHeard{Pending->Boot, Copy});
+      Fn(ReceivedConfig{Pending->Boot, Copy});
   });
   Services.find<JoinService>(service::Join)
       .onItems([this](const KvItems &Found) { applyListed(Found); });
@@ -111,7 +111,7 @@
                         Found.Items.begin(), Found.Items.end(), isNodeEntry));
   if (Found.Partial)
     ListedNodes = std::max(ListedNodes, MinDelegatingFleet);
-  if (First && !leavesReading())
+  if (First && !delegatesReading())
     begin();
 }
 
@@ -170,7 +170,7 @@
     return; // The response to an earlier request is too old to use.
   // The next request goes to another node, and not at once: while the service
   // is unavailable, no node has newer state.
-  if (leavesReading() && Answer.ConfigVersion != 0 &&
+  if (delegatesReading() && Answer.ConfigVersion != 0 &&
       Answer.ConfigAge > MaxSourceAge)
     excludeNode(From, "stale");
   PartsUntil = Answer.More ? Timers->now() + NextPartTimeout : TimePoint{};
@@ -219,12 +219,12 @@
   return !Members->settled() || source().Role == SyncRole::Reader;
 }
 
-bool StateSyncService::leavesReading() const {
+bool StateSyncService::delegatesReading() const {
   return nodes() >= MinDelegatingFleet;
 }
 
-bool StateSyncService::mayReadMuch() const {
-  return Members->settled() && (reads() || !leavesReading());
+bool StateSyncService::mayReadInBulk() const {
+  return Members->settled() && (reads() || !delegatesReading());
 }
 
 std::size_t StateSyncService::nodes() const {
--- a/src/state_sync_service.h
+++ b/src/state_sync_service.h
@@ -23,7 +23,7 @@
 
 /// A response, with the time of its request.
 struct StateSync {
-  Duration AskedBoot{};     ///< When the request was sent, boot-time clock.
+  Duration SentBoot{};      ///< When the request was sent, boot-time clock.
   TimePoint AskedAt{};      ///< The same time on the monotonic clock.
   StateSyncResponse Answer; ///< State of the reader. Its ages refer to the time
                             ///< of the response, which is later: counted from
@@ -31,16 +31,16 @@
 };
 
 /// A copy of the configuration, with the time of its request.
-struct ConfigHeard {
-  Duration AskedBoot{}; ///< When the request was sent, boot-time clock.
-  ConfigCopy Copy;      ///< Configuration in force at the reader.
+struct ReceivedConfig {
+  Duration SentBoot{}; ///< When the request was sent, boot-time clock.
+  ConfigCopy Copy;     ///< Configuration in force at the reader.
 };
 
 /// Lets most nodes follow the key-value service through a node that reads it.
 class StateSyncService : public Service {
 public:
   using StateSyncFn = std::function<void(const StateSync &)>;
-  using ConfigFn = std::function<void(const ConfigHeard &)>;
+  using ConfigFn = std::function<void(const ReceivedConfig &)>;
 
   /// \param Seed differs at each start. Nonces are derived from it: otherwise a
   /// response to a request of an earlier process on this host could match a
@@ -70,9 +70,9 @@
   bool reads() const;
   /// \return Whether the fleet is so large that nodes wait for lists and
   /// configurations from the readers instead of reading them.
-  bool leavesReading() const;
+  bool delegatesReading() const;
   /// \return Whether this node may start reads that take many calls.
-  bool mayReadMuch() const;
+  bool mayReadInBulk() const;
   /// \return Number of live nodes; until membership has settled, at least the
   /// number of nodes that were listed when this one joined.
   std::size_t nodes() const;
--- a/src/upstream_feed.cpp
+++ b/src/upstream_feed.cpp
@@ -54,7 +54,7 @@
   if (std::exchange(Begun, true))
     return;
   heardNow();
-  if (Readers->reads() || !Readers->leavesReading())
+  if (Readers->reads() || !Readers->delegatesReading())
     return read();
   Readers->ask();
   readAfter(FirstSyncTimeout);
@@ -70,7 +70,7 @@
 
 /// Reads the list or asks other nodes for it, after a time without news.
 void UpstreamFeed::onReadDue() {
-  if (Readers->reads() || !Readers->leavesReading() ||
+  if (Readers->reads() || !Readers->delegatesReading() ||
       Timers->now() - HeardAt > OwnReadAfter)
     return read();
   Readers->ask();
@@ -137,7 +137,7 @@
 /// time every node would keep reading the whole list. If no response comes, the
 /// read that is scheduled takes place.
 void UpstreamFeed::compareBuckets() {
-  if (Readers->leavesReading()) {
+  if (Readers->delegatesReading()) {
     // A response to an earlier request starts from an earlier list.
     Behind = true;
     return;
--- a/src/upstream_feed_read.cpp
+++ b/src/upstream_feed_read.cpp
@@ -47,7 +47,7 @@
     readAfter(mayFollow() ? FollowDelay : ReadPeriod);
   };
   Tree->range(Wire.upstreamsPrefix(), Done,
-              [this](const KvItems &) { return Readers->mayReadMuch(); });
+              [this](const KvItems &) { return Readers->mayReadInBulk(); });
 }
 
 void UpstreamFeed::readFailed(const std::string &Why) {
@@ -56,7 +56,7 @@
     logEvent(LogLevel::Warning, "upstream_list_lost",
              {{"why", Why}, {"listed", Registry.Entries.size()}});
   // Other nodes may have a newer list by now.
-  if (Readers->leavesReading())
+  if (Readers->delegatesReading())
     heardNow();
   readAfter(RetryDelay * Readers->retryFactor());
 }
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -295,7 +295,7 @@
     There.crash(2);
     There.crash(3);
     QuarantineNotice Notice = quarantineNotice(There.Q, Suspect, There.Now);
-    CHECK(quarantineTake(Here.Q, Notice, There.Now) ==
+    CHECK(quarantineMerge(Here.Q, Notice, There.Now) ==
           QuarantineChange::Disputed);
     CHECK_FALSE(Here.isQuarantined());
   }
@@ -304,7 +304,7 @@
     There.crash(2);
     There.crash(3);
     QuarantineNotice Notice = quarantineNotice(There.Q, Suspect, There.Now);
-    CHECK(quarantineTake(Here.Q, Notice, There.Now) == QuarantineChange::Held);
+    CHECK(quarantineMerge(Here.Q, Notice, There.Now) == QuarantineChange::Held);
   }
 }
 
@@ -334,10 +334,10 @@
     QuarantineNode A;
     QuarantineNode B;
     for (const QuarantineNotice &Notice : Notices)
-      quarantineTake(A.Q, Notice, A.Now);
+      quarantineMerge(A.Q, Notice, A.Now);
     std::reverse(Notices.begin(), Notices.end());
     for (const QuarantineNotice &Notice : Notices)
-      quarantineTake(B.Q, Notice, B.Now);
+      quarantineMerge(B.Q, Notice, B.Now);
     RC_ASSERT(A.isQuarantined() == B.isQuarantined());
     RC_ASSERT(A.Q.Entries[Suspect].Round == B.Q.Entries[Suspect].Round);
   }));
@@ -349,8 +349,8 @@
     quarantineCrash(J.Q, Fingerprint{I}, 1, J.Now);
   CHECK(J.Q.Suspects.size() <= MaxSuspects);
   for (std::uint64_t I = 1; I < 3 * MaxQuarantined; ++I)
-    quarantineTake(J.Q, {Fingerprint{I}, 1, false, seconds(1), QuarantineTime},
-                   J.Now);
+    quarantineMerge(J.Q, {Fingerprint{I}, 1, false, seconds(1), QuarantineTime},
+                    J.Now);
   CHECK(J.Q.Entries.size() <= MaxQuarantined);
 }
 
