--- a/src/state_sync_service.h
+++ b/src/state_sync_service.h
@@ -24,7 +24,7 @@
 /// A response, with the time of its request.
 struct StateSync {
   Duration SentBoot{};      ///< When the request was sent, boot-time clock.
-  TimePoint AskedAt{};      ///< The same time on the monotonic clock.
+  TimePoint SentAt{};       ///< The same time on the monotonic clock.
   StateSyncResponse Answer; ///< State of the reader. Its ages refer to the time
                             ///< of the response, which is later: counted from
                             ///< the request, they are never too small.
--- a/src/upstream_feed.cpp
+++ b/src/upstream_feed.cpp
@@ -96,7 +96,7 @@
   const StateSyncResponse &Answer = Heard.Answer;
   if (NextRead == TimerId{} || Answer.ListAge > MaxSyncedAge)
     return;
-  TimePoint ReadAt = Heard.AskedAt - Answer.ListAge;
+  TimePoint ReadAt = Heard.SentAt - Answer.ListAge;
   if (Answer.ListDigest != Registry.Digest) {
     // An older list would restore upstreams that are known to be leaving.
     if (Registry.Known && ReadAt <= Registry.ReadAt)
