--- a/src/batch_service.cpp
+++ b/src/batch_service.cpp
@@ -352,7 +352,7 @@
   auto Found = PendingFrees.find(Address);
   if (Found == PendingFrees.end())
     return;
-  HttpCall Call = Wire.writeFree(Found->second);
+  HttpCall Call = Wire.writeRelease(Found->second);
   PendingFrees.erase(Found);
   Call.Address = Address;
   Call.Timeout = FreeTimeout;
--- a/src/gateway_admission.cpp
+++ b/src/gateway_admission.cpp
@@ -60,7 +60,7 @@
   ForwardRequest &R = Requests[Serial];
   R.Serial = Serial;
   R.Exchange = Exchange;
-  R.Ask = Wire.readAsk(*Exchange);
+  R.Ask = Wire.readRequestInfo(*Exchange);
   R.Arrived = Exchange->Began;
   R.Table = Routes->table();
   ResultCode Code = admit(R);
--- a/src/kv_tree.h
+++ b/src/kv_tree.h
@@ -59,7 +59,7 @@
   /// \return The latest known epoch; 0: none is known yet.
   virtual std::uint64_t epoch() const = 0;
   /// Takes in an epoch that another node has observed.
-  virtual void heardEpoch(std::uint64_t Epoch) = 0;
+  virtual void observeEpoch(std::uint64_t Epoch) = 0;
   /// Calls \p Fn when a later epoch becomes known, before any response of that
   /// epoch is delivered.
   virtual void onEpoch(EpochFn Fn) = 0;
--- a/src/peer_service.cpp
+++ b/src/peer_service.cpp
@@ -74,7 +74,7 @@
     return;
   auto Message = decodePeer(Bytes, Key, Config.PreviousPeerKey);
   if (!Message || Message->Sender == Config.NodeId) {
-    ++Counts.Strange;
+    ++Counts.RejectedMessages;
     return;
   }
   // A replayed message carries a valid authentication code although whoever
--- a/src/peer_service.h
+++ b/src/peer_service.h
@@ -20,12 +20,12 @@
 
 /// Message counts, for metrics and for docs/CAPACITY.md.
 struct PeerCounts {
-  std::uint64_t SentMessages = 0;  ///< Messages sent.
-  std::uint64_t SentBytes = 0;     ///< Payload bytes sent.
-  std::uint64_t Received = 0;      ///< Messages accepted.
-  std::uint64_t ReceivedBytes = 0; ///< Payload bytes accepted.
-  std::uint64_t Strange = 0;       ///< Damaged, without a valid key, or own.
-  std::uint64_t Replayed = 0;      ///< Received before.
+  std::uint64_t SentMessages = 0;     ///< Messages sent.
+  std::uint64_t SentBytes = 0;        ///< Payload bytes sent.
+  std::uint64_t Received = 0;         ///< Messages accepted.
+  std::uint64_t ReceivedBytes = 0;    ///< Payload bytes accepted.
+  std::uint64_t RejectedMessages = 0; ///< Damaged, without a valid key, or own.
+  std::uint64_t Replayed = 0;         ///< Received before.
 };
 
 /// Authenticated messages between nodes: datagrams where they fit, ZeroMQ for
--- a/src/state_sync_service.cpp
+++ b/src/state_sync_service.cpp
@@ -174,7 +174,7 @@
       Answer.ConfigAge > MaxSourceAge)
     excludeNode(From, "stale");
   PartsUntil = Answer.More ? Timers->now() + NextPartTimeout : TimePoint{};
-  Epochs->heardEpoch(Answer.Epoch);
+  Epochs->observeEpoch(Answer.Epoch);
   for (const StateSyncFn &Fn : SyncSubscribers)
     Fn(StateSync{Answered.Boot, Answered.At, Answer});
 }
--- a/src/wire_format.h
+++ b/src/wire_format.h
@@ -41,7 +41,8 @@
                                                     std::string &Why) const = 0;
 
   /// Reads the headers that describe a client's request.
-  virtual ForwardRequestInfo readAsk(const HttpExchange &Exchange) const = 0;
+  virtual ForwardRequestInfo
+  readRequestInfo(const HttpExchange &Exchange) const = 0;
   /// Writes the call that forwards a request; the caller sets its address.
   virtual HttpCall writeSend(const HttpExchange &Exchange,
                              const ForwardCallInfo &Send) const = 0;
@@ -58,7 +59,7 @@
   virtual BatchCallResult readBatch(const HttpAnswer &Answer) const = 0;
   /// Writes a call that releases results at an upstream; the caller sets its
   /// address.
-  virtual HttpCall writeFree(std::span<const std::string> Handles) const = 0;
+  virtual HttpCall writeRelease(std::span<const std::string> Handles) const = 0;
   /// \return The address of the upstream that holds the result \p Handle.
   virtual std::string handleAddress(const std::string &Handle) const = 0;
 
--- a/tests/gateway_world.h
+++ b/tests/gateway_world.h
@@ -54,7 +54,7 @@
 
   /// Adds an upstream and lists it.
   platform::StandinRunner &addRunner(const std::string &Pool,
-                                     platform::RunnerShape Shape) {
+                                     platform::RunnerConfig Shape) {
     auto Made = std::make_unique<platform::StandinRunner>(Loop, Timers, Shape);
     platform::StandinRunner &Ref = *Made;
     Runners[Shape.Instance] = std::move(Made);
--- a/tests/test_cold.cpp
+++ b/tests/test_cold.cpp
@@ -266,7 +266,7 @@
   for (int I = 0; I < 20; ++I)
     CHECK(W.ask("/post/x").Answer.Status == HttpOk);
   CHECK(W.Runners["i-a"]->Seen.size() <= Before + 1);
-  CHECK_FALSE(W.Runners["i-a"]->Overrun);
+  CHECK_FALSE(W.Runners["i-a"]->Overloaded);
   W.Runners["i-a"]->ColdRate = 0;
   W.ColdMs = 0;
   W.list("plain", "i-a", "ready");
--- a/tests/test_domain_drain.cpp
+++ b/tests/test_domain_drain.cpp
@@ -11,7 +11,7 @@
 #include "tcp_proxy.h"
 
 using namespace fulmar;
-using platform::RunnerShape;
+using platform::RunnerConfig;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -7,8 +7,8 @@
 #include "node_services.h"
 
 using namespace fulmar;
+using platform::RunnerConfig;
 using platform::RunnerMode;
-using platform::RunnerShape;
 using platform::StoreMode;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -83,7 +83,7 @@
   runUntil(W.Loop, [&] { return Coordinator.gateway().ready(); });
   // The answer to the late node's first write is lost, and the node joins half
   // a second later.
-  W.Store.Mode = StoreMode::Losing;
+  W.Store.Mode = StoreMode::LosingAnswers;
   GatewayNode &Late = W.startNode(Ids[1]);
   std::vector<std::shared_ptr<ClientResult>> Results;
   while (!Late.gateway().ready()) {
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -81,7 +81,7 @@
     CHECK(W.Store.value("k") == "two");
   }
   GIVEN("a write whose answer is lost") {
-    W.Store.Mode = StoreMode::Losing;
+    W.Store.Mode = StoreMode::LosingAnswers;
     THEN("the outcome is unknown") {
       CHECK(W.cas("k", "one", 0) == KvStatus::Unknown);
       CHECK(W.Store.value("k") == "one");
@@ -187,7 +187,7 @@
                         {"X-Pieces", "0,3"},
                         {"Authorization", "Bearer key"},
                         {"Last-Event-Id", "12"}};
-    ForwardRequestInfo Ask = Wire.readAsk(Exchange);
+    ForwardRequestInfo Ask = Wire.readRequestInfo(Exchange);
     CHECK(Ask.Host == "h");
     CHECK(Ask.RequestId == "r1");
     CHECK(Ask.Left == Duration(milliseconds(1500)));
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -9,7 +9,7 @@
 #include "quarantine_service.h"
 
 using namespace fulmar;
-using platform::RunnerShape;
+using platform::RunnerConfig;
 using platform::StoreMode;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
--- a/tests/test_restart.cpp
+++ b/tests/test_restart.cpp
@@ -9,7 +9,7 @@
 #include "upstream_registry.h"
 
 using namespace fulmar;
-using platform::RunnerShape;
+using platform::RunnerConfig;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -251,7 +251,7 @@
   // counts as a repetition.
   GatewayWorld W;
   W.TimeoutMs = W.TargetMs = 5000;
-  RunnerShape Slow{"i-b"};
+  RunnerConfig Slow{"i-b"};
   Slow.CallTime = milliseconds(1200);
   auto &Batch = W.addRunner("batch", Slow);
   auto &Engine = W.addRunner("engine", {"i-e", milliseconds(5), 2});
@@ -290,6 +290,6 @@
   CHECK(Result->Answer.Status == HttpOk);
   REQUIRE(Engine.Seen.size() == 1);
   std::string Input = headerValue(Engine.Seen[0], "X-Inputs");
-  REQUIRE(Batch.MadeFor.count(Input) == 1);
-  CHECK(Batch.MadeFor[Input] == Id);
+  REQUIRE(Batch.RequestIdByHandle.count(Input) == 1);
+  CHECK(Batch.RequestIdByHandle[Input] == Id);
 }
--- a/tests/test_restore.cpp
+++ b/tests/test_restore.cpp
@@ -10,7 +10,7 @@
 #include "upstream_feed.h"
 
 using namespace fulmar;
-using platform::RunnerShape;
+using platform::RunnerConfig;
 using platform::StoreMode;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -40,7 +40,7 @@
   void restore() {
     Store.Mode = StoreMode::Refusing;
     pass(milliseconds(200));
-    Store.restoreCopy();
+    Store.restoreSnapshot();
     Store.Mode = StoreMode::Serving;
   }
 
@@ -86,7 +86,7 @@
   // Guards against an order that is considered stale, because the service
   // assigns revisions from a lower number again.
   RestoreWorld W(2);
-  W.Store.keepCopy();
+  W.Store.saveSnapshot();
   for (int I = 0; I < 40; ++I)
     W.Store.put("op/other", std::to_string(I));
   W.Store.put("op/evacuate/z1", "{}");
@@ -106,11 +106,11 @@
   // Guards against a change that no watch reports, because its revision was
   // already known before the restore.
   RestoreWorld W(1);
-  W.Store.keepCopy();
+  W.Store.saveSnapshot();
   W.Store.put("op/other", "1");
   W.Store.put("op/other", "2");
   W.pass(milliseconds(600));
-  W.Store.restoreCopy();
+  W.Store.restoreSnapshot();
   W.configure();
   W.Store.put("op/other", "3");
   W.Store.put("op/other", "4");
@@ -129,7 +129,7 @@
   // considers an older one current before the operator has written the newer
   // one again.
   RestoreWorld W(1);
-  W.Store.keepCopy();
+  W.Store.saveSnapshot();
   W.Keys = "\"key-b\"";
   W.configure();
   REQUIRE(runUntil(W.Loop, [&] {
@@ -152,7 +152,7 @@
   RestoreWorld W(2);
   for (const char *Node : {"n0", "n1"})
     W.Store.erase("fulmarstep/running/" + std::string(Node));
-  W.Store.keepCopy();
+  W.Store.saveSnapshot();
   W.restore();
   CHECK(runUntil(
       W.Loop,
@@ -172,7 +172,7 @@
   W.Store.erase("fulmarstep/peer-key");
   W.Store.erase("fulmarstep/running/n0");
   W.Store.erase("fulmarstep/running/n1");
-  W.Store.keepCopy();
+  W.Store.saveSnapshot();
   W.restore();
   W.startNode("n2");
   REQUIRE(runUntil(
@@ -185,7 +185,7 @@
   // Guards against a process whose messages all nodes ignore, because its
   // incarnation is lower than that of the node's earlier process.
   RestoreWorld W(1);
-  W.Store.keepCopy();
+  W.Store.saveSnapshot();
   for (int I = 0; I < 100; ++I)
     W.Store.put("op/other", std::to_string(I));
   std::uint64_t Earlier = 0;
@@ -219,7 +219,7 @@
   GIVEN("an upstream that the copy does not have") {
     // Guards against live upstreams that are considered gone until they have
     // written their entries again.
-    W.Store.keepCopy();
+    W.Store.saveSnapshot();
     W.addRunner("plain", {"p-2"});
     REQUIRE(runUntil(
         W.Loop, [&] { return W.listAt(0).count("p-2") == 1; }, seconds(3)));
@@ -233,7 +233,7 @@
   }
   GIVEN("upstreams that left, or began to leave, after the copy") {
     // Guards against requests to upstreams that this node knew to be leaving.
-    W.Store.keepCopy();
+    W.Store.saveSnapshot();
     W.list("plain", "p-0", "draining");
     W.Store.erase("servers/p-1");
     REQUIRE(runUntil(
@@ -255,7 +255,7 @@
   RestoreWorld W(1);
   for (auto &[Instance, Runner] : W.Runners)
     Runner->CrashesOn = "deadly";
-  W.Store.keepCopy();
+  W.Store.saveSnapshot();
   W.Body = "deadly";
   for (int I = 0; I < 3; ++I) {
     W.ask("/get/x");
@@ -296,8 +296,8 @@
   std::vector<std::uint64_t> EpochsSeen;
   Store.onEpoch([&](std::uint64_t Epoch) { EpochsSeen.push_back(Epoch); });
   WHEN("the service is restored from an older copy") {
-    Service.keepCopy();
-    Service.restoreCopy();
+    Service.saveSnapshot();
+    Service.restoreSnapshot();
     KvItems Second = Read();
     CHECK(Second.Revision > First.Revision);
     CHECK(EpochsSeen == std::vector<std::uint64_t>{3});
@@ -320,8 +320,8 @@
     CHECK(EpochsSeen.empty());
   }
   WHEN("another node reports a later epoch") {
-    Store.heardEpoch(5);
-    Store.heardEpoch(4);
+    Store.observeEpoch(5);
+    Store.observeEpoch(4);
     CHECK(EpochsSeen == std::vector<std::uint64_t>{5});
     CHECK(Read().Status == KvStatus::Unavailable);
   }
