--- a/src/bundle_cmd.cpp
+++ b/src/bundle_cmd.cpp
@@ -30,7 +30,7 @@
   return Out;
 }
 
-SignedBundle readAccepted(BlockingKv &Kv, std::uint64_t &Index) {
+SignedBundle readAcceptedBundle(BlockingKv &Kv, std::uint64_t &Index) {
   KvEntry Entry;
   if (Kv.get(BundleKey, Entry) != KvStatus::Ok)
     throw Error(ResultCode::KvUnavailable,
@@ -90,7 +90,7 @@
     return Checked;
   for (int Try = 0; Try < MaxTries; ++Try) {
     std::uint64_t Index = 0;
-    SignedBundle Before = readAccepted(Kv, Index);
+    SignedBundle Before = readAcceptedBundle(Kv, Index);
     // Also reached when the response to an earlier attempt was lost although
     // its write took effect.
     if (Before.Seal == Next.Seal)
--- a/src/bundle_cmd.h
+++ b/src/bundle_cmd.h
@@ -47,7 +47,7 @@
 /// \param[out] Index modify index of the entry, for BlockingKv::cas.
 /// \return A bundle of version 0 when there is none.
 /// \throws Error KvUnavailable, or BundleInvalid when it is damaged.
-SignedBundle readAccepted(BlockingKv &Kv, std::uint64_t &Index);
+SignedBundle readAcceptedBundle(BlockingKv &Kv, std::uint64_t &Index);
 
 /// Accepts a signed bundle: writes it if its version is one above the stored
 /// version.
--- a/src/cli/cli_bundle.cpp
+++ b/src/cli/cli_bundle.cpp
@@ -64,7 +64,7 @@
 static SignedBundle acceptedBundle() {
   BlockingConsulKv Kv(FLAGS_kv);
   std::uint64_t Index = 0;
-  return readAccepted(Kv, Index);
+  return readAcceptedBundle(Kv, Index);
 }
 
 static ExitCode diff() {
--- a/src/entry_api.cpp
+++ b/src/entry_api.cpp
@@ -97,7 +97,7 @@
   const RateLimitService &RateLimited =
       Services.find<RateLimitService>(service::RateLimits);
   auto Age = Routes->age();
-  std::vector<PlainMetric> Plain = {
+  std::vector<UnlabelledMetric> Plain = {
       {"fulmarstep_requests_accepted_total", "counter",
        static_cast<double>(Gateway->metrics().Accepted)},
       {"fulmarstep_repeats_total", "counter",
--- a/src/field_base.h
+++ b/src/field_base.h
@@ -15,7 +15,7 @@
 namespace fulmar {
 
 /// Whether a field may be omitted.
-enum class FieldNeed {
+enum class FieldPresence {
   Optional, ///< If omitted, the field has its default.
   Required, ///< Omitting it is an error.
   Count,    ///< Number of values.
@@ -39,8 +39,9 @@
   std::string_view Unit; ///< Unit; empty if it has none.
   double Min = 0;        ///< Minimum value, or size in bytes or items.
   double Max = 0;        ///< Maximum value, or size in bytes or items.
-  FieldNeed Presence = FieldNeed::Optional; ///< Whether it may be omitted.
-  std::string_view Help; ///< Help text for operators, one sentence.
+  FieldPresence Presence =
+      FieldPresence::Optional; ///< Whether it may be omitted.
+  std::string_view Help;       ///< Help text for operators, one sentence.
 };
 
 /// Validates the fields of one object and collects the errors.
@@ -116,7 +117,7 @@
       readField(*Value, Row, Out, Check);
       continue;
     }
-    if (Row.Presence == FieldNeed::Required)
+    if (Row.Presence == FieldPresence::Required)
       Check.report(Object.Line, Row.Name, "is missing");
   }
   for (const auto &[Name, Value] : Object.Members) {
@@ -154,7 +155,7 @@
       Default = "[]";
       Range = "list of strings";
     }
-    if (Row.Presence == FieldNeed::Required)
+    if (Row.Presence == FieldPresence::Required)
       Default = "required";
     Page += "| `" + std::string(Row.Name) + "` | " + std::string(Row.Unit) +
             " | " + Default + " | " + Range + " | " + std::string(Row.Help) +
--- a/src/gateway_metrics.cpp
+++ b/src/gateway_metrics.cpp
@@ -36,7 +36,7 @@
 }
 
 std::string gatewayMetricsText(const GatewayMetrics &M,
-                               const std::vector<PlainMetric> &Others) {
+                               const std::vector<UnlabelledMetric> &Others) {
   std::string Out;
   writeType(Out, "fulmarstep_requests_total", "counter");
   for (const auto &[Key, Route] : M.Routes) {
@@ -59,7 +59,7 @@
   writeHistogram(Out, "fulmarstep_stage_ms", "", M.StageTime);
   writeType(Out, "fulmarstep_first_event_ms", "histogram");
   writeHistogram(Out, "fulmarstep_first_event_ms", "", M.FirstEvent);
-  writePlain(Out, Others);
+  writeUnlabelled(Out, Others);
   return Out;
 }
 
--- a/src/gateway_metrics.h
+++ b/src/gateway_metrics.h
@@ -45,7 +45,7 @@
 
 /// \return The text of the metrics endpoint.
 std::string gatewayMetricsText(const GatewayMetrics &M,
-                               const std::vector<PlainMetric> &Others);
+                               const std::vector<UnlabelledMetric> &Others);
 
 } // namespace fulmar
 
--- a/src/log_budget.h
+++ b/src/log_budget.h
@@ -13,11 +13,12 @@
 /// requests must not cause a burst of log lines: at 20 us a line, 1000 lines/s
 /// take a twelfth of the quarter of a core that the smallest nodes have.
 struct LogBudget {
-  double PerSecond = 300;    ///< Refill rate, lines/s.
-  double Capacity = 600;     ///< Capacity: lines that may be written at once.
-  double Available = 600;    ///< Lines that may be written now.
-  TimePoint LastRefill{};    ///< Time of the last refill.
-  std::uint64_t LeftOut = 0; ///< Lines dropped since the last report of them.
+  double PerSecond = 300; ///< Refill rate, lines/s.
+  double Capacity = 600;  ///< Capacity: lines that may be written at once.
+  double Available = 600; ///< Lines that may be written now.
+  TimePoint LastRefill{}; ///< Time of the last refill.
+  std::uint64_t DroppedLines =
+      0; ///< Lines dropped since the last report of them.
 };
 
 /// Takes a token for one line.
@@ -27,7 +28,7 @@
   B.Available = std::min(B.Capacity, B.Available + Seconds * B.PerSecond);
   B.LastRefill = Now;
   if (B.Available < 1) {
-    ++B.LeftOut;
+    ++B.DroppedLines;
     return false;
   }
   B.Available -= 1;
--- a/src/metrics.cpp
+++ b/src/metrics.cpp
@@ -84,7 +84,7 @@
 }
 
 std::string metricsText(const Metrics &M,
-                        const std::vector<PlainMetric> &Others) {
+                        const std::vector<UnlabelledMetric> &Others) {
   std::string Out;
   writeType(Out, "fulmarstep_results_total", "counter");
   for (const auto &[Code, Count] : M.Codes)
@@ -111,7 +111,7 @@
              [](const StageCost &C) { return static_cast<double>(C.Tokens); });
   writeCosts(Out, M, "fulmarstep_stage_calls_total",
              [](const StageCost &C) { return static_cast<double>(C.Calls); });
-  writePlain(Out, Others);
+  writeUnlabelled(Out, Others);
   return Out;
 }
 
--- a/src/metrics_func.h
+++ b/src/metrics_func.h
@@ -14,7 +14,7 @@
 void metricsAdd(Metrics &M, const RequestReport &Report);
 
 /// A gauge or counter without labels.
-struct PlainMetric {
+struct UnlabelledMetric {
   std::string_view Name; ///< Full name of the metric.
   std::string_view Type; ///< `counter` or `gauge`.
   double Value = 0;      ///< Current value.
@@ -22,7 +22,7 @@
 
 /// Formats all metrics in the Prometheus text format.
 std::string metricsText(const Metrics &M,
-                        const std::vector<PlainMetric> &Others);
+                        const std::vector<UnlabelledMetric> &Others);
 
 } // namespace fulmar
 
--- a/src/metrics_text.cpp
+++ b/src/metrics_text.cpp
@@ -21,8 +21,9 @@
   Out += "# TYPE " + std::string(Name) + " " + std::string(Type) + "\n";
 }
 
-void writePlain(std::string &Out, const std::vector<PlainMetric> &Metrics) {
-  for (const PlainMetric &Metric : Metrics) {
+void writeUnlabelled(std::string &Out,
+                     const std::vector<UnlabelledMetric> &Metrics) {
+  for (const UnlabelledMetric &Metric : Metrics) {
     writeType(Out, Metric.Name, Metric.Type);
     Out += std::string(Metric.Name) + " " + formatNumber(Metric.Value) + "\n";
   }
--- a/src/metrics_text.h
+++ b/src/metrics_text.h
@@ -20,7 +20,8 @@
                     const std::string &Labels, const Histogram &H);
 
 /// Appends gauges and counters without labels to \p Out.
-void writePlain(std::string &Out, const std::vector<PlainMetric> &Metrics);
+void writeUnlabelled(std::string &Out,
+                     const std::vector<UnlabelledMetric> &Metrics);
 
 } // namespace fulmar
 
--- a/src/operator_api.cpp
+++ b/src/operator_api.cpp
@@ -141,7 +141,7 @@
 }
 
 /// Adds the CPU time and peak memory of this process.
-static void addUsage(std::vector<PlainMetric> &Out) {
+static void addUsage(std::vector<UnlabelledMetric> &Out) {
   rusage Usage{};
   getrusage(RUSAGE_SELF, &Usage);
   auto Seconds = [](const timeval &T) {
@@ -162,7 +162,7 @@
   const auto &Claims = Services.find<LedgerService>(service::Ledger).state();
   const RouterCounts &Counts = Router.state().Counts;
   auto Number = [](auto Value) { return static_cast<double>(Value); };
-  std::vector<PlainMetric> Out = {
+  std::vector<UnlabelledMetric> Out = {
       {"fulmarstep_bundle_version", "gauge", Number(Roll.InForce.Seal.Version)},
       {"fulmarstep_bundle_applied_total", "counter",
        Number(Roll.Counts.Applied)},
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -397,5 +397,5 @@
   for (int I = 0; I < 1000; ++I)
     Written += logBudgetTake(B, TimePoint{seconds(1)} + milliseconds(I));
   CHECK(Written <= 30);
-  CHECK(B.LeftOut == static_cast<std::uint64_t>(1000 - Written));
+  CHECK(B.DroppedLines == static_cast<std::uint64_t>(1000 - Written));
 }
