--- a/src/bench/fleet.cpp
+++ b/src/bench/fleet.cpp
@@ -133,7 +133,7 @@
         Done[I] = true;
         --Open;
         if (Version[I] < Wanted) {
-          ++Out.OutOfReach;
+          ++Out.UnreachableCount;
           continue;
         }
         Out.NodeMs.push_back(Ms);
--- a/src/bench/fleet.h
+++ b/src/bench/fleet.h
@@ -35,7 +35,7 @@
   std::vector<double> EverywhereMs; ///< For each change: until in force on
                                     ///< every node that could be reached.
   std::vector<double> NodeMs;       ///< For each change and node.
-  std::size_t OutOfReach = 0;       ///< Changes and nodes that did not answer.
+  std::size_t UnreachableCount = 0; ///< Changes and nodes that did not answer.
   std::size_t Reverted = 0;         ///< A node had a lower version than before.
   std::size_t Behind = 0; ///< Nodes without the last version at the end.
 };
--- a/src/bench/pace_model.cpp
+++ b/src/bench/pace_model.cpp
@@ -12,7 +12,7 @@
 
 namespace fulmar {
 
-static constexpr EnumNames<PaceWay> WayNames = {
+static constexpr EnumNames<PaceStrategy> WayNames = {
     "none", "alone", "saved", "asked", "random turns", "turns", "lent"};
 /// The rule that comes with the limit: a window may hold Overage times the
 /// limit plus Slack sends.
@@ -21,7 +21,9 @@
 /// Share of the limit that the granting node hands out.
 static constexpr double GrantedShare = 0.9;
 
-std::string_view paceWayName(PaceWay Way) { return nameIn(WayNames, Way); }
+std::string_view paceStrategyName(PaceStrategy Way) {
+  return nameIn(WayNames, Way);
+}
 
 namespace {
 
@@ -35,17 +37,18 @@
 /// A simulated fleet.
 class PaceModel {
 public:
-  PaceModel(const PacePlan &P, PaceWay W)
+  PaceModel(const PacePlan &P, PaceStrategy W)
       : Plan(P), Way(W), Rng(P.Seed), Nodes(static_cast<std::size_t>(P.Nodes)),
         NextGrant(Nodes.size()), Now(Begin), Origin(Begin) {
     Origin -= fromMs(1e6 * randomUnit(Rng));
     std::uint64_t Joined = Rng() % 1000;
     double AssumedNodes = std::max(1.0, Plan.Nodes * Plan.Known);
-    if (Way == PaceWay::Alone)
+    if (Way == PaceStrategy::Alone)
       AssumedNodes = 1;
     PaceTurns Turns = paceTurns(Plan.Limit, AssumedNodes, RateLimitTurn);
     for (PaceNode &Node : Nodes) {
-      bool EvenlySpread = Way == PaceWay::Turns || Way == PaceWay::Lent;
+      bool EvenlySpread =
+          Way == PaceStrategy::Turns || Way == PaceStrategy::Lent;
       double Phase = EvenlySpread ? pacePhase(++Joined, 0) : randomUnit(Rng);
       paceSet(Node.Pace, Turns, Phase, Origin);
       Node.Next = Begin + fromMs(toMs(Turns.Interval) * Phase);
@@ -91,22 +94,22 @@
 
   bool trySend(PaceNode &Node) {
     switch (Way) {
-    case PaceWay::Saved:
-    case PaceWay::Alone:
+    case PaceStrategy::Saved:
+    case PaceStrategy::Alone:
       if (Now < Node.Next)
         return false;
       Node.Next = Now + Node.Pace.Turns.Interval;
       return true;
-    case PaceWay::Asked:
+    case PaceStrategy::Asked:
       return requestGrant(Node);
-    case PaceWay::RandomTurns:
-    case PaceWay::Turns:
+    case PaceStrategy::RandomTurns:
+    case PaceStrategy::Turns:
       return paceAllows(Node.Pace, Now) && takeTurn(Node);
-    case PaceWay::Lent:
+    case PaceStrategy::Lent:
       return paceAllows(Node.Pace, Now) ? takeTurn(Node) : borrowTurn();
-    case PaceWay::None:
-    case PaceWay::Count:
-    case PaceWay::Invalid:
+    case PaceStrategy::None:
+    case PaceStrategy::Count:
+    case PaceStrategy::Invalid:
       break;
     }
     return true;
@@ -161,7 +164,7 @@
 
   static constexpr TimePoint Begin{std::chrono::seconds(1000)};
   const PacePlan &Plan;              ///< Fleet and load.
-  const PaceWay Way;                 ///< Strategy under test.
+  const PaceStrategy Way;            ///< Strategy under test.
   Random Rng;                        ///< Draws arrivals and choices.
   std::vector<PaceNode> Nodes;       ///< The fleet.
   std::vector<TimePoint> NextGrant;  ///< Earliest next grant of each node.
@@ -174,7 +177,7 @@
 
 } // namespace
 
-PaceOutcome runPacePlan(const PacePlan &Plan, PaceWay Way) {
+PaceOutcome runPacePlan(const PacePlan &Plan, PaceStrategy Way) {
   return PaceModel(Plan, Way).run();
 }
 
--- a/src/bench/pace_model.h
+++ b/src/bench/pace_model.h
@@ -11,7 +11,7 @@
 namespace fulmar {
 
 /// Strategies to keep a rate limit.
-enum class PaceWay {
+enum class PaceStrategy {
   None,        ///< No node keeps the limit.
   Alone,       ///< Each node keeps the whole limit by itself.
   Saved,       ///< Each node has a share and saves up unused sends.
@@ -24,7 +24,7 @@
 };
 
 /// \return The name of \p Way in tables.
-std::string_view paceWayName(PaceWay Way);
+std::string_view paceStrategyName(PaceStrategy Way);
 
 /// A fleet that calls one upstream, under a light, then a heavy, then again a
 /// light load.
@@ -53,7 +53,7 @@
 };
 
 /// Simulates one fleet.
-PaceOutcome runPacePlan(const PacePlan &Plan, PaceWay Way);
+PaceOutcome runPacePlan(const PacePlan &Plan, PaceStrategy Way);
 
 } // namespace fulmar
 
--- a/src/bench/quarantine_model.cpp
+++ b/src/bench/quarantine_model.cpp
@@ -67,7 +67,7 @@
       Now = Next.key();
       Next.mapped()();
     }
-    Out.HarmlessHeld = static_cast<int>(QuarantinedHarmless.size());
+    Out.HarmlessQuarantined = static_cast<int>(QuarantinedHarmless.size());
     return Out;
   }
 
--- a/src/bench/quarantine_model.h
+++ b/src/bench/quarantine_model.h
@@ -43,8 +43,8 @@
   int Crashes = 0;      ///< Crashes of upstreams.
   int SendsAfter = 0;   ///< Deadly tries sent later than 4 s after crash 3.
   int HarmlessLost = 0; ///< Harmless requests without an answer.
-  int HarmlessHeld = 0; ///< Harmless requests that were quarantined.
-  std::uint64_t Messages = 0; ///< Messages between nodes.
+  int HarmlessQuarantined = 0; ///< Harmless requests that were quarantined.
+  std::uint64_t Messages = 0;  ///< Messages between nodes.
 };
 
 /// Simulates one fleet.
--- a/src/cli/cli_fleet.cpp
+++ b/src/cli/cli_fleet.cpp
@@ -44,8 +44,8 @@
       "node_p99_ms=%.0f out_of_reach=%zu reverted=%zu behind=%zu\n",
       FLAGS_changes, access().Nodes.size(), quantileOf(Run.EverywhereMs, 0.5),
       quantileOf(Run.EverywhereMs, 0.99), quantileOf(Run.EverywhereMs, 1),
-      quantileOf(Run.NodeMs, 0.5), quantileOf(Run.NodeMs, 0.99), Run.OutOfReach,
-      Run.Reverted, Run.Behind);
+      quantileOf(Run.NodeMs, 0.5), quantileOf(Run.NodeMs, 0.99),
+      Run.UnreachableCount, Run.Reverted, Run.Behind);
   if (Run.Reverted + Run.Behind > 0)
     throw Error(ResultCode::InvariantBroken,
                 "a node reverted to an older version, or is behind");
--- a/src/cli/cli_pace.cpp
+++ b/src/cli/cli_pace.cpp
@@ -15,7 +15,7 @@
 namespace fulmar {
 
 /// \return Sums over several runs; Most is the maximum of all runs.
-static PaceOutcome runSeeds(PacePlan Plan, PaceWay Way) {
+static PaceOutcome runSeeds(PacePlan Plan, PaceStrategy Way) {
   PaceOutcome Sum;
   for (int I = 0; I < FLAGS_seeds; ++I) {
     Plan.Seed = FLAGS_seed + static_cast<std::uint64_t>(I);
@@ -29,13 +29,13 @@
   return Sum;
 }
 
-static void printRow(const PacePlan &Plan, PaceWay Way) {
+static void printRow(const PacePlan &Plan, PaceStrategy Way) {
   PaceOutcome Sum = runSeeds(Plan, Way);
   auto Mean = [](double Value) { return Value / FLAGS_seeds; };
   std::printf("%5d %5.1f %5.1f  %-13s %5d %8.1f %10.2f %10.2f %9.0f\n",
               Plan.Nodes, Plan.Known, Plan.Limit,
-              std::string(paceWayName(Way)).c_str(), Sum.Most, Mean(Sum.Over),
-              Mean(Sum.HeavyUse), Mean(Sum.LightUse),
+              std::string(paceStrategyName(Way)).c_str(), Sum.Most,
+              Mean(Sum.Over), Mean(Sum.HeavyUse), Mean(Sum.LightUse),
               Mean(static_cast<double>(Sum.Messages)));
 }
 
@@ -55,9 +55,10 @@
         Plan.Nodes = Nodes;
         Plan.Known = Known;
         Plan.Limit = Limit;
-        for (PaceWay Way :
-             {PaceWay::None, PaceWay::Alone, PaceWay::Saved, PaceWay::Asked,
-              PaceWay::RandomTurns, PaceWay::Turns, PaceWay::Lent})
+        for (PaceStrategy Way :
+             {PaceStrategy::None, PaceStrategy::Alone, PaceStrategy::Saved,
+              PaceStrategy::Asked, PaceStrategy::RandomTurns,
+              PaceStrategy::Turns, PaceStrategy::Lent})
           printRow(Plan, Way);
       }
     }
--- a/src/cli/cli_quarantine.cpp
+++ b/src/cli/cli_quarantine.cpp
@@ -28,7 +28,7 @@
     Sum.Total.Crashes += Out.Crashes;
     Sum.Total.SendsAfter += Out.SendsAfter;
     Sum.Total.HarmlessLost += Out.HarmlessLost;
-    Sum.Total.HarmlessHeld += Out.HarmlessHeld;
+    Sum.Total.HarmlessQuarantined += Out.HarmlessQuarantined;
     Sum.Total.Messages += Out.Messages;
     Sum.Worst = std::max(Sum.Worst, Out.SendsAfter);
   }
@@ -72,7 +72,7 @@
                   std::string(quarantineSharingName(Way)).c_str(),
                   Mean(Sum.Total.Crashes), Mean(Sum.Total.SendsAfter),
                   Sum.Worst, Mean(Sum.Total.HarmlessLost),
-                  Mean(Sum.Total.HarmlessHeld),
+                  Mean(Sum.Total.HarmlessQuarantined),
                   Mean(static_cast<double>(Sum.Total.Messages)));
     }
   }
