--- a/src/standin/port_range.cpp
+++ b/src/standin/port_range.cpp
@@ -21,7 +21,7 @@
 }
 
 PortRange::PortRange() {
-  for (int Port = FirstRangePort; Port < EndRangePort; Port += PortsOfRange) {
+  for (int Port = FirstRangePort; Port < EndRangePort; Port += PortsPerRange) {
     int File =
         ::open(lockPath(Port).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, LockMode);
     if (File < 0)
@@ -44,8 +44,8 @@
   TimerService Timers;
   EventLoop Loop(Timers);
   std::vector<int> Ports;
-  for (int Tries = 0; Ports.size() < Count && Tries < PortsOfRange; ++Tries) {
-    int Port = Range.first() + Next++ % PortsOfRange;
+  for (int Tries = 0; Ports.size() < Count && Tries < PortsPerRange; ++Tries) {
+    int Port = Range.first() + Next++ % PortsPerRange;
     try {
       HttpServer Probe(Loop, Host, Port, 1, [](const HttpExchangePtr &) {});
       Ports.push_back(Port);
--- a/src/standin/port_range.h
+++ b/src/standin/port_range.h
@@ -15,7 +15,7 @@
 inline constexpr int EndRangePort = 19000;
 /// Number of ports in a range: more than the nodes and stand-ins of one test
 /// listen on.
-inline constexpr int PortsOfRange = 100;
+inline constexpr int PortsPerRange = 100;
 
 /// Reserves a range of consecutive ports for the lifetime of this object.
 ///
--- a/tests/test_ports.cpp
+++ b/tests/test_ports.cpp
@@ -18,19 +18,20 @@
     PortRange One;
     PortRange Other;
     THEN("they do not overlap") {
-      CHECK(std::abs(One.first() - Other.first()) >= PortsOfRange);
+      CHECK(std::abs(One.first() - Other.first()) >= PortsPerRange);
     }
     THEN("neither overlaps the fixed ports of scripts") {
-      CHECK(One.first() + PortsOfRange <= FirstScriptPort);
-      CHECK(Other.first() + PortsOfRange <= FirstScriptPort);
+      CHECK(One.first() + PortsPerRange <= FirstScriptPort);
+      CHECK(Other.first() + PortsPerRange <= FirstScriptPort);
     }
     WHEN("free ports are requested besides") {
       std::vector<int> Ports = freePorts("127.0.0.1", 10);
       THEN("they are distinct and outside both reserved ranges") {
         CHECK(std::set<int>(Ports.begin(), Ports.end()).size() == 10);
         for (int Port : Ports) {
-          CHECK((Port < One.first() || Port >= One.first() + PortsOfRange));
-          CHECK((Port < Other.first() || Port >= Other.first() + PortsOfRange));
+          CHECK((Port < One.first() || Port >= One.first() + PortsPerRange));
+          CHECK(
+              (Port < Other.first() || Port >= Other.first() + PortsPerRange));
         }
       }
     }
