--- a/src/bench/load_base.h
+++ b/src/bench/load_base.h
@@ -1,4 +1,4 @@
-/// \file load_base.h An open-loop load on real sockets.
+/// \file load_base.h Open-loop load generator over real sockets.
 #ifndef FULMARSTEP_LOAD_BASE_H
 #define FULMARSTEP_LOAD_BASE_H
 
@@ -12,69 +12,74 @@
 
 namespace fulmar {
 
-/// What one organisation asks for.
+/// The requests of one organisation for one pipeline.
 struct LoadSource {
-  std::string Organisation; ///< Who.
-  std::string Pipeline;     ///< What for.
-  double Rate = 1;          ///< Requests/s, Poisson.
-  bool Stream = false;      ///< Asks for tokens as they come.
+  std::string Organisation; ///< Organisation that sends the requests.
+  std::string Pipeline;     ///< Pipeline that the requests name.
+  double Rate = 1;          ///< Mean Poisson arrival rate, requests/s.
+  bool Stream = false;      ///< Requests a streamed answer.
 };
 
-/// A load to run.
+/// What a load run sends.
 struct LoadPlan {
-  std::vector<LoadSource> Sources;  ///< All at once.
-  std::vector<std::string> Entries; ///< First addresses to ask, IP:PORT.
-  Duration Length = std::chrono::seconds(5); ///< Of sending.
-  std::uint64_t Seed = 1;                    ///< Of arrivals and inputs.
-  std::string RunName = "run";               ///< Part of every request id.
-  double LeaveShare = 0;                     ///< Callers that close early.
-  bool Retry = false; ///< Callers try again after "not run" and lost nodes.
+  std::vector<LoadSource> Sources;  ///< Sources, which send concurrently.
+  std::vector<std::string> Entries; ///< Initial entry addresses, IP:PORT.
+  Duration Length = std::chrono::seconds(5); ///< How long requests are sent.
+  std::uint64_t Seed = 1;      ///< Seed of arrivals, inputs and entry choices.
+  std::string RunName = "run"; ///< Prefix of every request id.
+  double LeaveShare = 0; ///< Share of attempts, 0 to 1, that callers cancel
+                         ///< early.
+  bool Retry = false;    ///< Callers retry after "not run" and lost nodes.
 };
 
-/// Sends a plan's requests and records what callers see. As a real caller, it
-/// asks for entry addresses and caches them.
+/// Sends a plan's requests and records the responses. Like a real caller, it
+/// requests entry addresses from a node and caches them.
 class LoadRun {
 public:
-  LoadRun(EventLoop &Loop, TimerService &Timers, BundlePtr Under,
+  LoadRun(EventLoop &Loop, TimerService &Timers, BundlePtr ActiveBundle,
           LoadPlan Plan);
 
-  /// Begins to send.
+  /// Starts to send requests.
   void start();
-  /// \return Whether everything was sent and answered, or given up.
+  /// \return Whether all requests were sent and each attempt has ended:
+  /// answered, timed out or cancelled.
   bool done() const;
-  /// \return What callers saw.
+  /// \return All attempts, as callers saw them.
   const std::vector<CallerEvent> &events() const { return Events; }
-  /// \return Requests waiting for their answer.
+  /// \return Number of attempts in flight or waiting for a retry.
   std::size_t waiting() const { return Waiting; }
 
 private:
   void schedule(std::size_t Source);
   void sendNew(std::size_t Source);
-  void sendTry(std::size_t Source, const std::string &Id,
-               const std::string &Input, int TriesLeft, TimePoint Due);
-  void answered(std::size_t Index, const HttpResponse &Answer,
-                const std::string &Streamed);
+  void sendAttempt(std::size_t Source, const std::string &Id,
+                   const std::string &Input, int AttemptsLeft, TimePoint Due);
+  void responseReceived(std::size_t Index, const HttpResponse &Answer,
+                        const std::string &Streamed);
   void refreshEntries();
-  std::string pickEntry();
+  std::string chooseEntry();
 
-  EventLoop &Loop;                 ///< Where it runs.
-  TimerService &Timers;            ///< Time.
-  HttpClient Client;               ///< Makes the calls.
-  BundlePtr Under;                 ///< For expected answers.
-  LoadPlan Plan;                   ///< What to send.
-  Random Rng;                      ///< Arrivals and inputs.
-  std::vector<CallerEvent> Events; ///< All tries.
-  std::vector<std::string> Cached; ///< Entry addresses.
-  TimePoint CachedUntil{};         ///< When they must be asked for again.
-  bool Asking = false;             ///< A question for entries is under way.
-  std::size_t NextAsk = 0;         ///< Which address to ask next.
-  TimePoint End{};                 ///< No new requests from then on.
-  std::size_t Waiting = 0;         ///< Unanswered.
-  std::uint64_t LastId = 0;        ///< Counts requests.
+  EventLoop &Loop;        ///< Event loop of the run.
+  TimerService &Timers;   ///< Clock and timers.
+  HttpClient Client;      ///< Sends the requests.
+  BundlePtr ActiveBundle; ///< Bundle that expected outputs follow from.
+  LoadPlan Plan;          ///< Load to send.
+  Random Rng;             ///< Arrivals, inputs, entry choices, early cancels.
+  std::vector<CallerEvent> Events; ///< All attempts, in the order of sending.
+  std::vector<std::string> EntryCache; ///< Cached entry addresses, IP:PORT.
+  TimePoint CacheExpiry{};             ///< When EntryCache must be refreshed.
+  bool RefreshInFlight = false; ///< A request for entry addresses is in flight.
+  std::size_t NextEntry = 0; ///< Counter that selects the address of the next
+                             ///< refresh.
+  TimePoint End{};           ///< When the last new request may be sent.
+  std::size_t Waiting = 0;   ///< Attempts in flight or waiting for a retry.
+  std::uint64_t LastId = 0;  ///< Number of the latest request id.
 };
 
-/// The only right answer of a pipeline of stand-ins.
-std::string expectedOutput(const Bundle &Under, const PipelineSpec &Pipeline,
+/// \return The only correct output of \p Pipeline when stand-ins run its
+/// stages.
+std::string expectedOutput(const Bundle &ActiveBundle,
+                           const PipelineSpec &Pipeline,
                            const std::string &Input);
 
 } // namespace fulmar
