--- a/src/bench/fleet.cpp
+++ b/src/bench/fleet.cpp
@@ -1,4 +1,4 @@
-/// \file fleet.cpp Measurements on running nodes.
+/// \file fleet.cpp Measurements of running nodes through their operator ports.
 #include "bench/fleet.h"
 
 #include <sstream>
@@ -16,19 +16,19 @@
 
 static constexpr Duration PollTimeout = std::chrono::milliseconds(300);
 static constexpr Duration AcceptRetry = std::chrono::milliseconds(100);
-static constexpr Duration FinalPatience = std::chrono::seconds(20);
+static constexpr Duration FinalTimeout = std::chrono::seconds(20);
 
-/// One run of changes, on one loop.
+/// Writes a series of changes and polls the nodes, on one event loop.
 struct RolloutWatch {
-  const FleetAccess &Fleet;           ///< Nodes.
-  const RolloutPlan &Plan;            ///< Changes.
-  TimerService Timers;                ///< Time.
-  EventLoop Loop{Timers};             ///< Runs it.
-  HttpClient Client{Loop};            ///< Polls.
-  ConsulKv Kv{Client, Fleet.Kv};      ///< Accepts.
-  std::vector<std::uint64_t> Version; ///< Latest seen of each node.
-  std::vector<TimePoint> Answered;    ///< When each node last answered.
-  RolloutRun Out;                     ///< Result.
+  const FleetAccess &Fleet;           ///< Nodes to poll.
+  const RolloutPlan &Plan;            ///< Changes to write.
+  TimerService Timers;                ///< Clock and timers.
+  EventLoop Loop{Timers};             ///< Event loop of the run.
+  HttpClient Client{Loop};            ///< Sends the polls.
+  ConsulKv Kv{Client, Fleet.Kv};      ///< Store that takes the changes.
+  std::vector<std::uint64_t> Version; ///< Highest version seen of each node.
+  std::vector<TimePoint> Answered; ///< When each node last reported a version.
+  RolloutRun Out;                  ///< Result of the run.
 
   RolloutWatch(const FleetAccess &F, const RolloutPlan &P)
       : Fleet(F), Plan(P), Version(F.Nodes.size(), 0),
@@ -47,17 +47,18 @@
     HttpCallbacks On;
     On.OnDone = [this, I](const HttpResponse &Answer) {
       if (Answer.Status == HttpOk)
-        heard(I, Answer.Body);
+        versionReceived(I, Answer.Body);
       Timers.after(Plan.Poll, [this, I] { poll(I); });
     };
     Client.start(std::move(Call), std::move(On));
   }
 
-  void heard(std::size_t I, const std::string &Body) {
+  void versionReceived(std::size_t I, const std::string &Body) {
     Diagnostics Wrong;
     auto Root = parseJson(Body, JsonDialect::Strict, Wrong);
     auto Now = Root ? static_cast<std::uint64_t>(Root->number("version")) : 0;
-    // A process that has just started has none yet; that is no reversion.
+    // A process that has just started has no version yet, which is no
+    // reversion.
     if (Now > 0 && Now < Version[I])
       ++Out.Reverted;
     Version[I] = std::max(Version[I], Now);
@@ -65,7 +66,8 @@
       Answered[I] = Timers.now();
   }
 
-  /// Writes the next version; tries again through outages.
+  /// Writes the next version to the store; retries while the store is
+  /// unavailable.
   std::uint64_t accept(int Step) {
     std::uint64_t Accepted = 0;
     while (Accepted == 0) {
@@ -89,7 +91,8 @@
              std::uint64_t &Accepted) {
     auto Before = decodeBundle(Entry.Value);
     if (!Before)
-      throw Error(ResultCode::BundleInvalid, "no bundle to change");
+      throw Error(ResultCode::BundleInvalid,
+                  "the store holds no readable bundle to change");
     BundleItems Items = Before->Items;
     auto First = Items.lower_bound("organisations/");
     Diagnostics Wrong;
@@ -116,22 +119,23 @@
       Loop.runOnce();
   }
 
-  /// Waits until every node that can be reached has \p Wanted.
+  /// Waits until every reachable node has version \p Wanted.
   void watchChange(std::uint64_t Wanted) {
     TimePoint Start = Timers.now();
     std::vector<bool> Done(Version.size(), false);
     double Last = 0;
-    std::size_t Open = Version.size();
-    while (Open > 0 && Timers.now() < Start + Plan.Patience) {
+    std::size_t PendingNodes = Version.size();
+    while (PendingNodes > 0 && Timers.now() < Start + Plan.ChangeTimeout) {
       Loop.runOnce();
       double Ms = toMs(Timers.now() - Start);
       for (std::size_t I = 0; I < Done.size(); ++I) {
-        // A node that is silent for several polls is paused or down.
+        // A node that does not respond for three poll timeouts is paused or
+        // down.
         bool Silent = Timers.now() - Answered[I] > 3 * PollTimeout;
         if (Done[I] || (Version[I] < Wanted && !Silent))
           continue;
         Done[I] = true;
-        --Open;
+        --PendingNodes;
         if (Version[I] < Wanted) {
           ++Out.UnreachableCount;
           continue;
@@ -140,7 +144,8 @@
         Last = Ms;
       }
     }
-    Out.EverywhereMs.push_back(Open > 0 ? toMs(Plan.Patience) : Last);
+    Out.EverywhereMs.push_back(PendingNodes > 0 ? toMs(Plan.ChangeTimeout)
+                                                : Last);
   }
 
   void run() {
@@ -153,7 +158,7 @@
       if (Next > Timers.now())
         wait(Next - Timers.now());
     }
-    TimePoint Until = Timers.now() + FinalPatience;
+    TimePoint Until = Timers.now() + FinalTimeout;
     auto Behind = [&] {
       std::size_t Count = 0;
       for (std::uint64_t V : Version)
--- a/src/bench/fleet.h
+++ b/src/bench/fleet.h
@@ -1,4 +1,4 @@
-/// \file fleet.h Measurements on running nodes, through their operators' ports.
+/// \file fleet.h Measurements of running nodes through their operator ports.
 #ifndef FULMARSTEP_FLEET_H
 #define FULMARSTEP_FLEET_H
 
@@ -11,42 +11,43 @@
 
 namespace fulmar {
 
-/// Which nodes, and how to get at them.
+/// Addresses and credentials of the nodes.
 struct FleetAccess {
-  std::vector<std::string> Nodes; ///< Operators' addresses, IP:PORT.
-  std::string Token;              ///< Operators' token.
-  std::string Kv;                 ///< Key-value service, IP:PORT.
+  std::vector<std::string> Nodes; ///< Addresses of operator ports, IP:PORT.
+  std::string Token;              ///< Operator token.
+  std::string Kv; ///< Address of the key-value service, IP:PORT.
 };
 
-/// Changes to roll out.
+/// A series of bundle changes to roll out.
 struct RolloutPlan {
-  BundleItems Items;                                  ///< Bundle to change.
-  std::string PrivateHex;                             ///< Operator's key.
-  std::string Signer;                                 ///< Its name.
-  int Changes = 100;                                  ///< How many.
-  Duration Interval = std::chrono::milliseconds(300); ///< Between two.
-  Duration Poll = std::chrono::milliseconds(5); ///< Between looks at a node.
-  Duration Patience = std::chrono::seconds(15); ///< Until a node counts as out
-                                                ///< of reach.
+  BundleItems Items;      ///< Bundle to change.
+  std::string PrivateHex; ///< Operator's private key, hexadecimal.
+  std::string Signer;     ///< Signer name of that key.
+  int Changes = 100;      ///< Number of changes.
+  Duration Interval = std::chrono::milliseconds(300); ///< Between two changes.
+  Duration Poll = std::chrono::milliseconds(5); ///< Between polls of a node.
+  Duration ChangeTimeout = std::chrono::seconds(15); ///< Limit of the wait for
+                                                     ///< one change.
 };
 
-/// What a run of changes came to.
+/// Result of a series of changes.
 struct RolloutRun {
-  std::vector<double> EverywhereMs; ///< For each change: until in force on
-                                    ///< every node that could be reached.
-  std::vector<double> NodeMs;       ///< For each change and node.
-  std::size_t UnreachableCount = 0; ///< Changes and nodes that did not answer.
-  std::size_t Reverted = 0;         ///< A node had a lower version than before.
-  std::size_t Behind = 0; ///< Nodes without the last version at the end.
+  std::vector<double> EverywhereMs; ///< For each change: ms until in force on
+                                    ///< every reachable node.
+  std::vector<double> NodeMs; ///< For each change and node: ms until in force.
+  std::size_t UnreachableCount = 0; ///< Pairs of change and unreachable node.
+  std::size_t Reverted = 0;         ///< Times a node reported a lower version.
+  std::size_t Behind = 0; ///< Nodes that lack the last version at the end.
 };
 
-/// Accepts one change after another and watches the nodes.
+/// Writes one change after another to the store and polls the nodes until each
+/// change is in force.
 RolloutRun runRollout(const FleetAccess &Fleet, const RolloutPlan &Plan);
 
-/// Metrics of all nodes: by name, a value for each node that answers.
+/// Metrics by name, then by address of each node that responds.
 using FleetMetrics = std::map<std::string, std::map<std::string, double>>;
 
-/// Reads the plain metrics of all nodes.
+/// Reads the metrics without labels of all nodes.
 FleetMetrics readMetrics(const FleetAccess &Fleet);
 
 } // namespace fulmar
