--- a/src/bench/demo.cpp
+++ b/src/bench/demo.cpp
@@ -1,4 +1,5 @@
-/// \file demo.cpp A node and its stand-ins under a mixed load, in one process.
+/// \file demo.cpp Runs a node and its stand-ins under a mixed load, in one
+/// process.
 #include "bench/demo.h"
 
 #include <cstdio>
@@ -30,16 +31,16 @@
   return Items;
 }
 
-void addSources(LoadPlan &Load, const Bundle &Under, double Rate) {
+void addSources(LoadPlan &Load, const Bundle &ActiveBundle, double Rate) {
   std::size_t Pairs = 0;
-  for (const OrganisationSpec &O : Under.Organisations)
+  for (const OrganisationSpec &O : ActiveBundle.Organisations)
     Pairs += O.Pipelines.size();
-  for (const OrganisationSpec &O : Under.Organisations) {
+  for (const OrganisationSpec &O : ActiveBundle.Organisations) {
     for (const std::string &Name : O.Pipelines) {
-      const PipelineSpec *P = Bundle::find(Under.Pipelines, Name);
+      const PipelineSpec *P = Bundle::find(ActiveBundle.Pipelines, Name);
       const StageSpec &Last = P->Stages.back();
       bool Engine =
-          Bundle::find(Under.Pools, Last.Pool)->Kind == PoolKind::Engine;
+          Bundle::find(ActiveBundle.Pools, Last.Pool)->Kind == PoolKind::Engine;
       Load.Sources.push_back(
           {O.Name, Name, Rate / static_cast<double>(Pairs), Engine});
     }
@@ -67,16 +68,17 @@
   return S;
 }
 
-/// Slows one engine, and lets one retriever leave half way.
-static void planFaults(TimerService &Timers, StandinSite &Site,
-                       const DemoPlan &Plan, History &Seen) {
+/// Schedules the faults: one engine slows down after a quarter of the run, and
+/// one retriever leaves after half of it.
+static void scheduleFaults(TimerService &Timers, StandinSite &Site,
+                           const DemoPlan &Plan, History &Seen) {
   Timers.after(Plan.Length / 4, [&Site] {
     Site.pool("engines").front()->Faults.Slow = SlowFactor;
   });
   Timers.after(Plan.Length / 2, [&Site, &Timers, &Seen] {
-    StandinUpstream *Leaver = Site.pool("retrievers").front();
-    Site.leave(Leaver);
-    Seen.Leaving.push_back({Site.addressOf(Leaver), Timers.now()});
+    StandinUpstream *LeavingUpstream = Site.pool("retrievers").front();
+    Site.leave(LeavingUpstream);
+    Seen.Leaving.push_back({Site.addressOf(LeavingUpstream), Timers.now()});
   });
 }
 
@@ -88,56 +90,56 @@
 
 DemoResult runDemo(const DemoPlan &Plan) {
   BundleItems Items = loadBundleItems(Plan.BundlePath);
-  BundlePtr Under = buildBundle(Items, 1);
+  BundlePtr ActiveBundle = buildBundle(Items, 1);
   TimerService Timers;
   EventLoop Loop(Timers);
   SitePlan Layout;
   Layout.Seed = Plan.Seed;
-  StandinSite Site(Loop, Timers, *Under, Layout);
+  StandinSite Site(Loop, Timers, *ActiveBundle, Layout);
   SigningKey Key = makeSigningKey();
   SignedBundle Accepted = sealBundle(Items, 1, "demo", Key.PrivateHex, "demo",
                                      EventLoop::wallClock());
   Site.Kv.restore(BundleKey, encodeBundle(Accepted));
   Settings Config = demoSettings(Site, Key);
-  Node Served(Loop, Timers, Config);
+  Node DemoNode(Loop, Timers, Config);
 
   DemoResult Out;
-  LoadPlan Sent;
-  addSources(Sent, *Under, Plan.Rate);
-  Sent.Entries = {std::string(DemoHost) + ":" +
-                  std::to_string(Config.CallerPort)};
-  Sent.Length = Plan.Length;
-  Sent.Seed = Plan.Seed;
-  LoadRun Load(Loop, Timers, Under, Sent);
-  // The node needs its bundle and host list first.
-  while (!Served.router().state().InForce ||
-         Served.router().state().Pools.at("engines").Upstreams.empty())
+  LoadPlan Traffic;
+  addSources(Traffic, *ActiveBundle, Plan.Rate);
+  Traffic.Entries = {std::string(DemoHost) + ":" +
+                     std::to_string(Config.CallerPort)};
+  Traffic.Length = Plan.Length;
+  Traffic.Seed = Plan.Seed;
+  LoadRun Load(Loop, Timers, ActiveBundle, Traffic);
+  // The load starts once the node has its bundle and host list.
+  while (!DemoNode.router().state().InForce ||
+         DemoNode.router().state().Pools.at("engines").Upstreams.empty())
     Loop.runOnce();
   TimePoint Start = Timers.now();
-  for (const PoolSpec &Pool : Under->Pools) {
+  for (const PoolSpec &Pool : ActiveBundle->Pools) {
     if (Pool.Kind != PoolKind::Plain)
       continue;
     for (StandinUpstream *U : Site.pool(Pool.Name))
       U->Faults.CutAfter = Plan.CutAfter;
   }
   if (Plan.Faults)
-    planFaults(Timers, Site, Plan, Out.Seen);
+    scheduleFaults(Timers, Site, Plan, Out.Seen);
   Load.start();
-  TimePoint NextShow = Start;
+  TimePoint NextProgress = Start;
   while (!Load.done()) {
     Loop.runOnce();
-    if (!Plan.Progress || Timers.now() < NextShow)
+    if (!Plan.Progress || Timers.now() < NextProgress)
       continue;
     showProgress(Load, Start, Timers.now());
-    NextShow = Timers.now() + std::chrono::milliseconds(200);
+    NextProgress = Timers.now() + std::chrono::milliseconds(200);
   }
   if (Plan.Progress)
     std::fprintf(stderr, "\r%60s\r", "");
   Out.Seen.Callers = Load.events();
-  addExecutions(Out.Seen, *Under, Site.executions());
+  addExecutions(Out.Seen, *ActiveBundle, Site.executions());
   Out.Broken = checkHistory(Out.Seen);
   Out.Tables = attainmentTable(Out.Seen) + "\n" +
-               costTable(Served.router().metrics()) + "\n" +
+               costTable(DemoNode.router().metrics()) + "\n" +
                codeTable(Out.Seen) +
                "\npromises broken: " + formatViolations(Out.Broken) + "\n";
   for (const std::string &Detail : Out.Broken.Details)
--- a/src/bench/demo.h
+++ b/src/bench/demo.h
@@ -1,4 +1,5 @@
-/// \file demo.h A node and its stand-ins under a mixed load, in one process.
+/// \file demo.h Runs a node and its stand-ins under a mixed load, in one
+/// process.
 #ifndef FULMARSTEP_DEMO_H
 #define FULMARSTEP_DEMO_H
 
@@ -11,33 +12,35 @@
 
 namespace fulmar {
 
-/// What the demo does.
+/// Parameters of the demo.
 struct DemoPlan {
-  std::string BundlePath;                    ///< Bundle source.
-  Duration Length = std::chrono::seconds(5); ///< Of the load.
+  std::string BundlePath;                    ///< Path of the bundle source.
+  Duration Length = std::chrono::seconds(5); ///< How long the load runs.
   double Rate = 150;      ///< Requests/s over all organisations.
-  std::uint64_t Seed = 1; ///< Of everything.
-  bool Progress = false;  ///< Show a line while it runs.
-  bool Faults = true;     ///< Slow one upstream, let another leave.
-  double CutAfter = 0;    ///< Services run calls, then lose the answer.
+  std::uint64_t Seed = 1; ///< Seed of the load and the stand-ins.
+  bool Progress = false;  ///< Show a progress line on stderr.
+  bool Faults = true;     ///< Slow one upstream down and let another leave.
+  double CutAfter = 0;    ///< CutAfter fault of the plain upstreams, which run
+                          ///< calls and then lose the answer.
 };
 
-/// What it came to.
+/// Result of the demo.
 struct DemoResult {
-  History Seen;       ///< By callers and stand-ins.
-  Violations Broken;  ///< Promises that were broken.
-  std::string Tables; ///< For people.
+  History Seen;       ///< What callers and stand-ins observed.
+  Violations Broken;  ///< Violated guarantees.
+  std::string Tables; ///< Report as text.
 };
 
 /// Runs the demo.
 DemoResult runDemo(const DemoPlan &Plan);
 
-/// Splits a rate over all organisations and the pipelines they may use.
+/// Adds a source for each organisation and pipeline that it may use, and splits
+/// \p Rate, in requests/s, evenly over them.
 struct LoadPlan;
-void addSources(LoadPlan &Load, const Bundle &Under, double Rate);
+void addSources(LoadPlan &Load, const Bundle &ActiveBundle, double Rate);
 
 /// Reads a bundle source and parses it.
-/// \throws Error BundleInvalid with every error.
+/// \throws Error BundleInvalid that lists all errors of the source.
 BundleItems loadBundleItems(const std::string &Path);
 
 } // namespace fulmar
