--- a/src/bench/report.cpp
+++ b/src/bench/report.cpp
@@ -1,4 +1,4 @@
-/// \file report.cpp What a run came to, for people.
+/// \file report.cpp Text reports of the results of a run.
 #include "bench/report_func.h"
 
 #include <algorithm>
@@ -18,10 +18,10 @@
 }
 
 void addExecutions(
-    History &H, const Bundle &Under,
+    History &H, const Bundle &ActiveBundle,
     const std::vector<std::pair<std::string, Execution>> &Executions) {
   std::map<std::string, bool> Idempotent;
-  for (const PipelineSpec &Pipeline : Under.Pipelines) {
+  for (const PipelineSpec &Pipeline : ActiveBundle.Pipelines) {
     for (const StageSpec &Stage : Pipeline.Stages)
       Idempotent[Stage.Name] = Stage.Idempotent;
   }
@@ -35,8 +35,9 @@
          E.Output == E.Expected && E.Answered - E.Due <= E.Deadline;
 }
 
-/// The last try of each request counts.
-static std::map<std::string, const CallerEvent *> lastTries(const History &H) {
+/// \return The last attempt of each request that its caller did not cancel.
+static std::map<std::string, const CallerEvent *>
+lastAttempts(const History &H) {
   std::map<std::string, const CallerEvent *> Out;
   for (const CallerEvent &E : H.Callers) {
     if (!E.Left)
@@ -46,7 +47,7 @@
 }
 
 double attainment(const History &H) {
-  auto Last = lastTries(H);
+  auto Last = lastAttempts(H);
   std::size_t Good = 0;
   for (const auto &[Id, E] : Last)
     Good += onTime(*E) ? 1 : 0;
@@ -85,7 +86,7 @@
   std::map<std::pair<std::string, PipelineClass>,
            std::vector<const CallerEvent *>>
       Groups;
-  for (const auto &[Id, E] : lastTries(H))
+  for (const auto &[Id, E] : lastAttempts(H))
     Groups[{E->Organisation, E->Class}].push_back(E);
   std::string Out = line("%-18s %-12s %9s %9s %9s %9s\n", "organisation",
                          "class", "requests", "on time", "p50 ms", "p99 ms");
--- a/src/bench/report_func.h
+++ b/src/bench/report_func.h
@@ -1,4 +1,4 @@
-/// \file report_func.h What a run came to, for people.
+/// \file report_func.h Text reports of the results of a run.
 #ifndef FULMARSTEP_REPORT_FUNC_H
 #define FULMARSTEP_REPORT_FUNC_H
 
@@ -9,29 +9,32 @@
 
 namespace fulmar {
 
-/// Puts executions into a history; the bundle says which may run twice.
+/// Adds executions to a history; the bundle states which stages are idempotent
+/// and so may run twice.
 void addExecutions(
-    History &H, const Bundle &Under,
+    History &H, const Bundle &ActiveBundle,
     const std::vector<std::pair<std::string, Execution>> &Executions);
 
-/// Attainment by organisation and class, as callers saw it: complete answers
-/// within the deadline, counted from when each request was due.
+/// \return Table of attainment by organisation and class, as callers saw it:
+/// the share of requests answered completely within the deadline, counted from
+/// when each request was due.
 std::string attainmentTable(const History &H);
 
-/// Requests by result code, as callers saw them.
+/// \return Table of attempts by result code, as callers saw them.
 std::string codeTable(const History &H);
 
-/// Cost by pipeline and stage, over all organisations.
+/// \return Table of cost by pipeline and stage, over all organisations.
 std::string costTable(const Metrics &M);
 
 /// \return Share of requests that were answered completely and on time.
 double attainment(const History &H);
 
-/// \return The quantile \p Q of \p Values; 0 without any.
+/// \return The quantile \p Q of \p Values; 0 if \p Values is empty.
 double quantileOf(std::vector<double> Values, double Q);
 
 /// \return A quantile of the latency of complete answers, in ms, counted from
-/// when each request was due, so that a stalled sender does not hide waiting.
+/// when each request was due, so that a stalled sender does not hide queueing
+/// time.
 double latencyQuantile(const History &H, double Q);
 
 } // namespace fulmar
