--- a/src/micro/micro.cpp
+++ b/src/micro/micro.cpp
@@ -1,8 +1,10 @@
-/// \file micro.cpp Micro-benchmarks of the hot decisions, and how they grow.
+/// \file micro.cpp Micro-benchmarks of decisions on hot paths, at several
+/// sizes.
 ///
-/// Run plainly it is a Google Benchmark program. `count NAME SIZE N` runs one
-/// operation N times and nothing else, for counting instructions: the
-/// difference between two N is free of everything around it.
+/// Without a subcommand it is a Google Benchmark program. `count NAME SIZE N`
+/// runs one operation N times and nothing else, to count instructions: the
+/// difference between the counts of two values of N excludes the set-up.
+/// `list` prints the operations and their sizes.
 #include <cstring>
 #include <functional>
 #include <iostream>
@@ -25,14 +27,14 @@
 
 using namespace fulmar;
 
-/// One operation at a given size, ready to be repeated.
+/// An operation that is set up for one size and can be repeated.
 using Operation = std::function<void()>;
 
-/// A named operation and the sizes it is measured at.
+/// A named operation and the sizes at which it runs.
 struct MicroOp {
-  const char *Name;               ///< For the command line.
-  std::vector<std::size_t> Sizes; ///< What grows.
-  Operation (*Make)(std::size_t); ///< Sets it up.
+  const char *Name;               ///< Name on the command line.
+  std::vector<std::size_t> Sizes; ///< Values of the size parameter.
+  Operation (*Make)(std::size_t); ///< Sets the operation up for a size.
 };
 
 static std::string bundleText(std::size_t Organisations) {
@@ -91,8 +93,8 @@
   }
 };
 
-/// A whole request: admission, four stages, end.
-static Operation wholeRequest(std::size_t Size) {
+/// A request from admission through four stages to its result.
+static Operation completeRequest(std::size_t Size) {
   auto B = std::make_shared<RouterBench>(Size, 300);
   return [B] {
     B->Now += std::chrono::milliseconds(10);
@@ -112,7 +114,7 @@
   };
 }
 
-/// Admission alone: a request that is refused at once.
+/// Admission alone, of a request that is refused at once.
 static Operation admission(std::size_t Organisations) {
   auto B = std::make_shared<RouterBench>(64, Organisations);
   // All but the first organisation's requests fill the queue.
@@ -140,7 +142,7 @@
 static Operation chooseSampled(std::size_t Size) { return choose(Size, 0); }
 static Operation chooseByPrefix(std::size_t Size) { return choose(Size, 77); }
 
-/// One node goes and comes again, before 200 upstreams.
+/// Subsets of 200 upstreams when one node leaves and joins again.
 static Operation subset(std::size_t Nodes) {
   auto Listed = upstreams(200, "p");
   auto Ids = std::make_shared<std::vector<std::string>>();
@@ -150,11 +152,11 @@
   S->Self = "n0";
   updateSubsetNodes(*S, *Ids);
   return [Listed, Ids, S] {
-    std::string Gone = Ids->back();
+    std::string RemovedId = Ids->back();
     Ids->pop_back();
     updateSubsetNodes(*S, *Ids);
     benchmark::DoNotOptimize(chooseSubset(*S, Listed, 64));
-    Ids->push_back(Gone);
+    Ids->push_back(RemovedId);
     updateSubsetNodes(*S, *Ids);
     benchmark::DoNotOptimize(chooseSubset(*S, Listed, 64));
   };
@@ -250,13 +252,13 @@
   SigningKey Key = makeSigningKey();
   auto R = std::make_shared<Rollout>();
   R->OperatorKeys = {"op:" + Key.PublicHex};
-  auto Even = std::make_shared<SignedBundle>(
+  auto Initial = std::make_shared<SignedBundle>(
       sealBundle(bundleItems(Organisations), 1, "op", Key.PrivateHex, "", 1));
   RolloutActions Out;
-  rolloutFromKv(*R, *Even, {}, Out);
+  rolloutFromKv(*R, *Initial, {}, Out);
   return [R, Key] {
-    // The next version, with one organisation changed; sealing it is the
-    // operator's work, but it is counted here, too.
+    // The next version changes one organisation. The operator seals it in a
+    // real rollout; here the cost of sealing is included.
     SignedBundle Next = R->InForce;
     auto Item = Next.Items.lower_bound("organisations/");
     std::uint64_t Version = Next.Seal.Version + 1;
@@ -270,7 +272,7 @@
     RolloutActions Out;
     rolloutDelta(*R, Delta, {}, TimePoint{}, "peer", Out);
     if (R->InForce.Seal.Version != Version)
-      throw std::logic_error("not applied");
+      throw std::logic_error("bundle delta was not applied");
   };
 }
 
@@ -291,7 +293,7 @@
 
 static const std::vector<MicroOp> Operations = {
     {"admission-refused", {5, 50, 300}, admission},
-    {"request-4-stages", {10, 100, 1000}, wholeRequest},
+    {"request-4-stages", {10, 100, 1000}, completeRequest},
     {"choice-sampled", {10, 100, 1000, 10000}, chooseSampled},
     {"choice-by-prefix", {10, 64, 1000, 10000}, chooseByPrefix},
     {"fair-queue", {5, 50, 300}, fairQueue},
@@ -312,7 +314,7 @@
       Run();
     return 0;
   }
-  std::cerr << "no operation " << Name << "\n";
+  std::cerr << "unknown operation " << Name << "\n";
   return 2;
 }
 
