--- a/src/attempt_decision.cpp
+++ b/src/attempt_decision.cpp
@@ -29,7 +29,7 @@
 }
 
 static bool mayRetry(const AttemptFacts &F) {
-  if (F.Expired || !F.TimeLeft || !F.Elsewhere)
+  if (F.Expired || !F.EnoughTime || !F.Elsewhere)
     return false;
   switch (F.Effect) {
   case AttemptEffect::NotSent:
@@ -52,7 +52,7 @@
   if (mayRetry(F))
     return AttemptDecision::Retry;
   if (F.Delivered)
-    return AttemptDecision::BreakOff;
+    return AttemptDecision::AbortConnection;
   if (provablyNotRun(F))
     return AttemptDecision::RefuseNotRun;
   // The upstream's own error answer tells the client more than one of this
@@ -60,7 +60,8 @@
   // run.
   if (F.Outcome == AttemptOutcome::Failure && F.Effect == AttemptEffect::Ran)
     return AttemptDecision::PassOn;
-  return F.Expired ? AttemptDecision::FailLate : AttemptDecision::FailUnknown;
+  return F.Expired ? AttemptDecision::FailDeadlinePassed
+                   : AttemptDecision::FailUnknown;
 }
 
 } // namespace fulmar
--- a/src/attempt_decision_type.h
+++ b/src/attempt_decision_type.h
@@ -39,21 +39,21 @@
   bool Budget = false;    ///< The retry budget has room.
   bool Elsewhere = false; ///< Another upstream has free capacity.
   bool EarlierMayRun = false; ///< An earlier attempt may have run the request.
-  bool TimeLeft = false;      ///< Another attempt can still end in time.
+  bool EnoughTime = false;    ///< Another attempt can still end in time.
   bool Expired = false;       ///< The request's deadline has passed.
 };
 
 /// What to do after an attempt.
 enum class AttemptDecision {
-  PassOn,       ///< Give the client the upstream's answer.
-  Retry,        ///< Try another upstream.
-  RefuseNotRun, ///< Tell the client that it has not run: 503.
-  FailUnknown,  ///< Tell the client that it failed: 502.
-  FailLate,     ///< Tell the client that its deadline has passed: 504.
-  BreakOff,     ///< Close the connection: part of the answer was sent to
-                ///< the client, and the rest cannot be.
-  Count,        ///< Number of decisions.
-  Invalid,      ///< Not a decision.
+  PassOn,             ///< Give the client the upstream's answer.
+  Retry,              ///< Try another upstream.
+  RefuseNotRun,       ///< Tell the client that it has not run: 503.
+  FailUnknown,        ///< Tell the client that it failed: 502.
+  FailDeadlinePassed, ///< Tell the client that its deadline has passed: 504.
+  AbortConnection,    ///< Close the connection: part of the answer was sent to
+                      ///< the client, and the rest cannot be.
+  Count,              ///< Number of decisions.
+  Invalid,            ///< Not a decision.
 };
 
 } // namespace fulmar
--- a/src/batch.cpp
+++ b/src/batch.cpp
@@ -125,14 +125,14 @@
 /// Decays smoothed values by the time since the last call. A pool without work
 /// is not ticked.
 static void age(BatchPool &P, TimePoint Now) {
-  double Periods = toMs(Now - P.AgedAt) / toMs(BatchTickPeriod);
+  double Periods = toMs(Now - P.DecayedAt) / toMs(BatchTickPeriod);
   double Kept = std::pow(1 - SlownessDecay, Periods);
   for (auto &[Start, U] : P.Upstreams) {
     if (U.InFlight == 0)
       U.Slowness = 1 + (U.Slowness - 1) * Kept;
   }
-  sharesAge(P.Shares, Now);
-  P.AgedAt = Now;
+  sharesDecay(P.Shares, Now);
+  P.DecayedAt = Now;
 }
 
 BatchRequestId batchSubmit(BatchPool &P, const BatchRequest &Request,
@@ -175,12 +175,12 @@
 }
 
 /// Stores the result of one piece.
-static void takeResult(BatchPool &P, const BatchCall &Call, std::size_t Index,
-                       const PieceResult &Result, TimePoint Now,
-                       BatchActions &Out) {
+static void storeResult(BatchPool &P, const BatchCall &Call, std::size_t Index,
+                        const PieceResult &Result, TimePoint Now,
+                        BatchActions &Out) {
   const BatchItem &Item = Call.Items[Index];
   P.Kept[Result.Handle] = {Call.Upstream, Call.Bytes[Index],
-                           Now + P.Spec.ResultLife};
+                           Now + P.Spec.ResultLifetime};
   auto Found = P.Jobs.find(Item.Request);
   if (Found == P.Jobs.end() ||
       !Found->second.Pieces[static_cast<std::size_t>(Item.Piece)]
@@ -235,17 +235,17 @@
 }
 
 /// Records that an upstream refused work because it is full or has no space.
-static void learnRefusal(BatchUpstream &U, TimePoint Now) {
+static void recordRefusal(BatchUpstream &U, TimePoint Now) {
   int Doublings = std::min(U.Refusals++, MaxBackoffDoublings);
   U.FullUntil = Now + FullBackoff * (1 << Doublings);
 }
 
 /// Records a call that did not return a result for each piece.
-static void learnFailure(BatchUpstream &U, AttemptEffect Effect,
-                         TimePoint Now) {
+static void recordFailure(BatchUpstream &U, AttemptEffect Effect,
+                          TimePoint Now) {
   U.FreeAt = Now;
   if (Effect == AttemptEffect::SaidNotRun)
-    return learnRefusal(U, Now);
+    return recordRefusal(U, Now);
   if (++U.Failures >= FailuresToAvoid)
     U.AvoidUntil = Now + AvoidTime;
 }
@@ -257,9 +257,9 @@
 }
 
 /// Updates the state of an upstream from a response and the time it took.
-static void learnAnswer(const BatchPool &P, BatchUpstream &U,
-                        const BatchCall &Call, const BatchCallResult &Result,
-                        TimePoint Now) {
+static void recordResponse(const BatchPool &P, BatchUpstream &U,
+                           const BatchCall &Call, const BatchCallResult &Result,
+                           TimePoint Now) {
   U.Failures = 0;
   U.LastResponseAt = Now;
   U.OtherNodeCalls = Result.Load
@@ -267,7 +267,7 @@
                                            Result.Load->Waiting - U.InFlight)
                          : 0;
   if (anyPiece(Result, PieceEnd::NoSpace))
-    learnRefusal(U, Now);
+    recordRefusal(U, Now);
   else
     U.Refusals = 0;
   // A call without any result says nothing about the speed.
@@ -290,9 +290,9 @@
     return;
   --Found->second.InFlight;
   if (Answered)
-    learnAnswer(P, Found->second, Call, Result, Now);
+    recordResponse(P, Found->second, Call, Result, Now);
   else
-    learnFailure(Found->second, Result.Effect, Now);
+    recordFailure(Found->second, Result.Effect, Now);
 }
 
 /// \return Why the piece at \p Index of a call has no result.
@@ -347,7 +347,7 @@
     bool Done = Answered && Result.Pieces[I].End == PieceEnd::Done;
     if (Done) {
       Found += Early ? 1 : 0;
-      takeResult(P, Call, I, Result.Pieces[I], Now, Out);
+      storeResult(P, Call, I, Result.Pieces[I], Now, Out);
       continue;
     }
     releaseReservation(P, Call, I);
@@ -355,7 +355,7 @@
     Missed += Early && Failure.Why == BatchEnd::InputsGone ? 1 : 0;
     pieceFailed(P, Item, Failure, Now, Out);
   }
-  readWaitLearn(P.InputsRead, Missed, Found);
+  readWaitUpdate(P.InputsRead, Missed, Found);
   batchDispatch(P, Now, Out);
 }
 
--- a/src/batch_base.h
+++ b/src/batch_base.h
@@ -82,7 +82,7 @@
 };
 
 /// A result that is stored at an upstream.
-struct KeptResult {
+struct StoredResult {
   Incarnation Upstream; ///< The upstream that stores it.
   double Bytes = 0;     ///< Its size.
   TimePoint Until{};    ///< When it expires there.
@@ -109,13 +109,13 @@
   std::map<Incarnation, BatchUpstream> Upstreams; ///< By incarnation.
   std::map<BatchRequestId, BatchJob> Jobs; ///< In progress, oldest first.
   std::map<BatchCallId, BatchCall> Calls;  ///< In flight.
-  std::unordered_map<std::string, KeptResult> Kept; ///< By handle.
+  std::unordered_map<std::string, StoredResult> Kept; ///< By handle.
   ReadWait InputsRead;    ///< Time after which a call has read its inputs.
   PriorityShares Shares;  ///< Of the pool among priorities.
   double CallFill = 0;    ///< Smoothed pieces in a call while more wait than it
                           ///< can carry; 0: none was sent so far.
   TimePoint LastSent{};   ///< When the latest call was sent.
-  TimePoint AgedAt{};     ///< When smoothed values were last decayed.
+  TimePoint DecayedAt{};  ///< When smoothed values were last decayed.
   TimePoint DispatchAt{}; ///< Pieces are held back until then; zero: none are.
   std::uint64_t LastRequest = 0; ///< Last BatchRequestId assigned.
   std::uint64_t LastCall = 0;    ///< Last BatchCallId assigned.
--- a/src/batch_relay.cpp
+++ b/src/batch_relay.cpp
@@ -28,7 +28,7 @@
 /// request about once a second, and a forecast up to this age is better than
 /// the durations of completed requests. After that a request is accepted to
 /// obtain a new one.
-static constexpr Duration ForecastLife = std::chrono::milliseconds(1500);
+static constexpr Duration ForecastLifetime = std::chrono::milliseconds(1500);
 /// Longest time that a node holds a request while it does not know the other
 /// members. It usually learns them a fraction of a second after its start, and
 /// somewhat later when a call to the key-value service has to be repeated.
@@ -36,7 +36,7 @@
 /// How long an unresponsive node is avoided.
 static constexpr Duration UnresponsiveTime = std::chrono::seconds(2);
 /// How long a result is kept for a node that does not acknowledge it.
-static constexpr Duration ResultLife = std::chrono::seconds(3);
+static constexpr Duration ResultLifetime = std::chrono::seconds(3);
 static constexpr int MaxResultSends = 6;
 
 void BatchRelay::start() {
@@ -123,7 +123,7 @@
                                                   int Priority) const {
   auto Found = Forecasts.find({Pool, Priority});
   if (Found == Forecasts.end() ||
-      Timers->now() - Found->second.At > ForecastLife)
+      Timers->now() - Found->second.At > ForecastLifetime)
     return std::nullopt;
   return Found->second.Forecast;
 }
@@ -254,7 +254,7 @@
           return;
         Ended->second.Local = BatchTicket{};
         Ended->second.Result = Result;
-        Ended->second.ForgetAt = Timers->now() + ResultLife;
+        Ended->second.ForgetAt = Timers->now() + ResultLifetime;
         sendResult(Key, Ended->second);
       },
       [this, Key] {
--- a/src/batch_send.cpp
+++ b/src/batch_send.cpp
@@ -198,7 +198,8 @@
 }
 
 /// \return Whether so many upstreams are free that nothing waits for long.
-static bool manyFree(const BatchPool &P, std::size_t Free, TimePoint Now) {
+static bool hasIdleCapacity(const BatchPool &P, std::size_t Free,
+                            TimePoint Now) {
   return static_cast<double>(Free) >
          static_cast<double>(usableUpstreams(P, Now)) * UnpacedFreeShare;
 }
@@ -227,7 +228,7 @@
 /// next stage has read them, so the pool before a full one sends calls that are
 /// half full. If its estimates assumed full calls, it would accept requests
 /// that then wait in vain (test "results wait for a full next stage").
-static void learnFill(BatchPool &P, int Waiting, std::size_t Size) {
+static void updateCallFill(BatchPool &P, int Waiting, std::size_t Size) {
   if (Waiting < P.Spec.MaxPieces)
     return;
   auto Newest = static_cast<double>(Size);
@@ -250,7 +251,7 @@
       continue;
     }
     int MaxItems = P.Spec.MaxPieces;
-    if (manyFree(P, Unused, Now)) {
+    if (hasIdleCapacity(P, Unused, Now)) {
       MaxItems = callSize(P, Waiting, Unused);
     } else if (TimePoint Next = nextCall(P, Waiting, Now); Next > Now) {
       P.DispatchAt = Next;
@@ -267,7 +268,7 @@
     if (Call.Items.empty())
       continue;
     P.LastSent = Now;
-    learnFill(P, Waiting, Call.Items.size());
+    updateCallFill(P, Waiting, Call.Items.size());
     sendCall(P, *U, std::move(Call.Items), std::move(Call.Bytes), Now, Out);
   }
 }
--- a/src/batch_service.cpp
+++ b/src/batch_service.cpp
@@ -275,7 +275,7 @@
   if (!Result.Answered)
     return;
   for (Fingerprint Content : Contents)
-    Quarantined->ranWell(Content);
+    Quarantined->recordSuccess(Content);
 }
 
 void BatchService::send(BatchPool &P, const SendBatchAction &Send) {
--- a/src/bench/policy.cpp
+++ b/src/bench/policy.cpp
@@ -326,7 +326,7 @@
     W.Routers[N].OwnDomain = "fd" + std::to_string(N % 3 + 1);
     W.Routers[N].MaxRequests = 100000;
     handleEvent(W, N, [&](RouterState &S, RouterActions &Out) {
-      bundleInForce(S, W.Plan.Under, W.Now, Out);
+      activateBundle(S, W.Plan.Under, W.Now, Out);
     });
   }
   pollHosts(W);
--- a/src/bench/quarantine_model.cpp
+++ b/src/bench/quarantine_model.cpp
@@ -90,7 +90,8 @@
 
   void send(const ModelAttempt &Run) {
     bool UsesQuarantine = Way != QuarantineSharing::None;
-    if (UsesQuarantine && quarantineLeft(Nodes[Run.Node], Run.Content, Now)) {
+    if (UsesQuarantine &&
+        quarantineRemaining(Nodes[Run.Node], Run.Content, Now)) {
       Out.HarmlessLost += Run.Content == Deadly ? 0 : 1;
       return;
     }
--- a/src/caller_time.h
+++ b/src/caller_time.h
@@ -19,8 +19,8 @@
 inline constexpr double ShareWeight = 0.02;
 /// Returned requests are about as many as refused ones. Above this ratio, or by
 /// this share of all requests more, callers differ for another reason.
-inline constexpr double MaxReturnRatio = 1.5;
-inline constexpr double ReturnSlack = 0.05;
+inline constexpr double MaxRetriedRatio = 1.5;
+inline constexpr double RetriedShareSlack = 0.05;
 /// Requests between updates of the estimate; sorting the samples for each
 /// request would cost as much as choosing an upstream.
 inline constexpr std::size_t SortEvery = 8;
@@ -41,9 +41,9 @@
   std::vector<Duration> Samples; ///< Ring buffer of the latest announced times.
   std::size_t Next = 0;        ///< Index of the next sample, before the modulo.
   std::size_t UntilUpdate = 0; ///< Requests until MinFresh is updated.
-  Duration MinFresh{};      ///< Least time of a new request; zero: not known.
-  double ReturnedShare = 0; ///< Smoothed share of apparent retries.
-  double RefusedShare = 0;  ///< Smoothed share of refused requests.
+  Duration MinFresh{};     ///< Least time of a new request; zero: not known.
+  double RetriedShare = 0; ///< Smoothed share of apparent retries.
+  double RefusedShare = 0; ///< Smoothed share of refused requests.
 };
 
 /// \return The least time that new requests announce. Callers differ a little,
@@ -62,8 +62,8 @@
 }
 
 /// Adds a sample.
-inline void callerTimeLearn(CallerTime &P, Duration Left) {
-  smoothShare(P.ReturnedShare, Left < P.MinFresh ? 1 : 0);
+inline void callerTimeAddSample(CallerTime &P, Duration Left) {
+  smoothShare(P.RetriedShare, Left < P.MinFresh ? 1 : 0);
   smoothShare(P.RefusedShare, 0);
   if (P.Samples.size() < TimeSamples)
     P.Samples.push_back(Left);
@@ -80,7 +80,7 @@
 
 /// \return Least time that a caller has used before it sent this request.
 inline Duration callerTimeUsed(const CallerTime &P, Duration Left) {
-  if (P.ReturnedShare > P.RefusedShare * MaxReturnRatio + ReturnSlack)
+  if (P.RetriedShare > P.RefusedShare * MaxRetriedRatio + RetriedShareSlack)
     return Duration::zero();
   return std::max(Duration::zero(), P.MinFresh - Left);
 }
--- a/src/entry_api.cpp
+++ b/src/entry_api.cpp
@@ -45,7 +45,7 @@
         Loop, Address.Host, Address.Port, MaxBody,
         [this](const HttpExchangePtr &E) { handle(E); }));
   TimerService &Timers = Services.find<TimerService>(service::Timers);
-  Members->fitness(false, /*CanRead=*/true);
+  Members->announceFitness(false, /*CanRead=*/true);
   Timers.every(FitnessPeriod, [this] { checkFitness(); });
 }
 
@@ -63,7 +63,7 @@
 
 void EntryApi::checkFitness() {
   bool Ready = Gateway->ready();
-  Members->fitness(Ready && Routes->entryFresh(), Routes->canRead());
+  Members->announceFitness(Ready && Routes->entryFresh(), Routes->canRead());
   if (Ready == WasReady)
     return;
   WasReady = Ready;
--- a/src/estimate.cpp
+++ b/src/estimate.cpp
@@ -51,7 +51,7 @@
     closeWindow(E, Now);
 }
 
-void estimateAge(Estimate &E, TimePoint Now) {
+void estimateDecay(Estimate &E, TimePoint Now) {
   if (!E.HasData || Now - E.WindowStart < MaxWindowTime)
     return;
   // While a stage is slow, admission may refuse every request. Then no new
--- a/src/estimate_func.h
+++ b/src/estimate_func.h
@@ -13,7 +13,7 @@
 void estimateAdd(Estimate &E, Duration Took, TimePoint Now);
 
 /// Halves the distance of an estimate without new values to its prior.
-void estimateAge(Estimate &E, TimePoint Now);
+void estimateDecay(Estimate &E, TimePoint Now);
 
 /// \return The expected latency at quantile \p Q.
 Duration estimateAt(const Estimate &E, Quantile Q);
--- a/src/event_stream.cpp
+++ b/src/event_stream.cpp
@@ -64,7 +64,7 @@
   return Buffered.size() <= MaxEventBytes;
 }
 
-EventOrder EventCursor::judge(const StreamEvent &Event) const {
+EventOrder EventCursor::classify(const StreamEvent &Event) const {
   if (!Event.Id || !Last)
     return EventOrder::Next;
   if (*Event.Id <= *Last)
--- a/src/event_stream.h
+++ b/src/event_stream.h
@@ -45,7 +45,7 @@
   std::optional<std::uint64_t> Last; ///< Latest event that was delivered.
 
   /// \return The order of \p Event. An event without a number counts as Next.
-  EventOrder judge(const StreamEvent &Event) const;
+  EventOrder classify(const StreamEvent &Event) const;
   /// Records that \p Event was delivered.
   void take(const StreamEvent &Event) {
     if (Event.Id)
--- a/src/fair_queue.cpp
+++ b/src/fair_queue.cpp
@@ -30,7 +30,7 @@
 /// Advances the share clock of a flow that was idle to the virtual time.
 /// Without this, a flow that was idle for an hour would be served alone until
 /// it had used as much as the others did in that hour.
-static void catchUp(ShareClock &Share, double VirtualTime) {
+static void advanceShareClock(ShareClock &Share, double VirtualTime) {
   Share.Used = std::max(Share.Used, VirtualTime);
 }
 
@@ -53,12 +53,12 @@
   GroupQueue &Group = Queue.Groups[at(Place.Group)];
   ClassQueue &Class = classAt(Queue, Place);
   if (Group.Backlog <= 0)
-    catchUp(Group.Share, Queue.VirtualTime);
+    advanceShareClock(Group.Share, Queue.VirtualTime);
   if (Class.Active.empty())
-    catchUp(Class.Share, Group.VirtualTime);
+    advanceShareClock(Class.Share, Group.VirtualTime);
   OrganisationQueue &Own = Class.Queues[Place.Organisation];
   if (Own.Calls.empty()) {
-    catchUp(Own.Share, Class.VirtualTime);
+    advanceShareClock(Own.Share, Class.VirtualTime);
     Own.Weight = Queue.ByArrival ? 1 : Call.Weight;
     Class.ActiveWeight += Own.Weight;
     Class.Active.insert({Own.Share.Used, Place.Organisation});
--- a/src/forward_type.h
+++ b/src/forward_type.h
@@ -51,7 +51,7 @@
 };
 
 /// Metadata in the head of an upstream's answer.
-struct ForwardReply {
+struct ForwardResponseInfo {
   bool Signed = false;     ///< It has the upstream's signature.
   bool SaidNotRun = false; ///< The upstream did not run the request.
   bool InputsGone = false; ///< A stage's result is missing at its upstream.
--- a/src/gateway_admission.cpp
+++ b/src/gateway_admission.cpp
@@ -120,7 +120,7 @@
   R.ClientDeadline = R.Arrived + Left;
   // The client measures its latency from its first try.
   CallerTime &Callers = timesOf(R).Callers;
-  callerTimeLearn(Callers, Left);
+  callerTimeAddSample(Callers, Left);
   R.UsedBefore = callerTimeUsed(Callers, Left);
   R.OnTimeBy = R.Arrived + R.Route->Target - R.UsedBefore;
   R.Deadline = R.ClientDeadline - AnswerMargin;
@@ -130,7 +130,7 @@
       std::min(R.Deadline, R.Arrived + firstEventWait(*R.Route));
   R.PoolName = chooseTarget(*R.Route, hash64(R.Ask.RequestId));
   R.Cursor.Last = R.Ask.LastEvent;
-  if (RefuseAt > TimePoint{} && cannotEndInGrace(R))
+  if (RefuseAt > TimePoint{} && cannotEndBeforeStop(R))
     return ResultCode::Draining;
   // Even the last stage may be overloaded. The earlier stages of a request that
   // cannot complete would take capacity from other requests.
@@ -148,7 +148,7 @@
   return ResultCode::Complete;
 }
 
-bool GatewayService::cannotEndInGrace(const ForwardRequest &R) const {
+bool GatewayService::cannotEndBeforeStop(const ForwardRequest &R) const {
   TimePoint Now = Timers->now();
   if (Now < RefuseAt)
     return false;
@@ -179,7 +179,8 @@
   if (R.Route)
     callerTimeRefused(timesOf(R).Callers);
   replyCode(*R.Exchange, Code, R.Ask.RequestId, RetryIn);
-  gatewayCount(Metrics, R.Organisation, R.Route ? R.Route->Name : "", Code);
+  gatewayCountRequest(Metrics, R.Organisation, R.Route ? R.Route->Name : "",
+                      Code);
 }
 
 } // namespace fulmar
--- a/src/gateway_attempt.cpp
+++ b/src/gateway_attempt.cpp
@@ -60,7 +60,7 @@
   TimePoint Now = Timers->now();
   auto Index = lentUpstream(*R, P);
   bool Lent = Index.has_value();
-  if (!Lent && askForTurn(*R, P, Hints))
+  if (!Lent && requestTurn(*R, P, Hints))
     return;
   if (!Lent)
     Index = chooseUpstream(P, Policy, Hints, Rng, Now);
@@ -82,7 +82,7 @@
     Send.Priority = std::clamp(R->Priority, 0, 9);
   Send.Inputs = finalInputs(*R);
   Send.LastEvent = R->Cursor.Last;
-  HttpCall Call = Wire.writeSend(*R->Exchange, Send);
+  HttpCall Call = Wire.writeForwardCall(*R->Exchange, Send);
   Call.Address = U.Address;
   // The request's own timers end the call; its timeout must not fire first.
   Call.Timeout = R->Deadline - Now + std::chrono::seconds(1);
@@ -102,7 +102,7 @@
   R->Attempt->Started = Now;
   R->Attempt->LastEventAt = Now;
   R->Attempt->Call = Client->start(std::move(Call), attemptCallbacks(Serial));
-  watchSilence(*R);
+  startEventTimer(*R);
 }
 
 /// \return Whether some of a request's results occupy scarce space.
@@ -153,7 +153,7 @@
   ForwardRequest *R = find(Serial);
   ForwardAttempt &A = *R->Attempt;
   A.Head = Answer;
-  ForwardReply Reply = Wire.readReply(Answer);
+  ForwardResponseInfo Reply = Wire.readResponseInfo(Answer);
   reportRateLimit(*R, Reply);
   constexpr int FirstBadStatus = 300;
   bool Good = Answer.Status >= HttpOk && Answer.Status < FirstBadStatus;
@@ -171,7 +171,7 @@
   bool Fits = A.Splitter.feed(Bytes, [&](const StreamEvent &Event) {
     if (A.Damaged)
       return;
-    EventOrder Order = R->Cursor.judge(Event);
+    EventOrder Order = R->Cursor.classify(Event);
     if (Order == EventOrder::Next)
       return forwardEvent(*R, Event);
     // Events that the client already has are skipped; a stream with a gap
@@ -200,7 +200,7 @@
     Metrics.FirstEvent.add(toMs(Now - A.Started));
     // The upstream has begun to run the request, so it has read its inputs.
     if (R.InputsFreed)
-      readWaitLearn(InputsRead, /*Missed=*/0, /*Found=*/1);
+      readWaitUpdate(InputsRead, /*Missed=*/0, /*Found=*/1);
     freeStages(R);
   }
   R.Cursor.take(Event);
@@ -224,7 +224,7 @@
 /// \return The outcome of an attempt whose call has ended.
 static AttemptOutcome outcomeOf(const ForwardAttempt &A,
                                 const HttpResponse &Answer,
-                                const ForwardReply &Reply) {
+                                const ForwardResponseInfo &Reply) {
   if (Answer.Failure != HttpFailure::None)
     return AttemptOutcome::Broken;
   if (A.Streaming)
@@ -237,7 +237,7 @@
 }
 
 static AttemptEffect effectOf(const HttpResponse &Answer,
-                              const ForwardReply &Reply) {
+                              const ForwardResponseInfo &Reply) {
   if (!Answer.MayHaveBeenSent)
     return AttemptEffect::NotSent;
   if (Answer.Failure != HttpFailure::None)
@@ -253,7 +253,7 @@
   ForwardAttempt &A = *R->Attempt;
   HttpResponse Whole = Answer;
   Whole.Body = std::move(A.Body);
-  ForwardReply Reply = Wire.readReply(Whole);
+  ForwardResponseInfo Reply = Wire.readResponseInfo(Whole);
   AttemptOutcome Outcome = outcomeOf(A, Whole, Reply);
   AttemptEffect Effect = effectOf(Whole, Reply);
   if (Outcome != AttemptOutcome::Success)
@@ -262,14 +262,14 @@
                          : "status " + std::to_string(Whole.Status);
   reportRun(*R, Whole, Outcome, Effect);
   if (Reply.InputsGone && R->InputsFreed)
-    readWaitLearn(InputsRead, /*Missed=*/1, /*Found=*/0);
+    readWaitUpdate(InputsRead, /*Missed=*/1, /*Found=*/0);
   if (Reply.InputsGone && R->StageRounds == 1) {
     recordOutcome(*R, AttemptOutcome::Success, Effect);
     closeAttempt(*R);
     // The upstream is not at fault, and may have the session's prompt part
     // cached.
     R->Tried.pop_back();
-    return redoStages(*R);
+    return rerunStages(*R);
   }
   afterAttempt(*R, Outcome, Effect, Whole, /*Expired=*/false);
 }
@@ -296,9 +296,9 @@
 }
 
 void GatewayService::closeAttempt(ForwardRequest &R) {
-  Timers->cancel(R.SilenceTimer);
+  Timers->cancel(R.EventTimer);
   Timers->cancel(R.ReadTimer);
-  R.SilenceTimer = TimerId{};
+  R.EventTimer = TimerId{};
   R.ReadTimer = TimerId{};
   R.Attempt.reset();
 }
@@ -345,9 +345,9 @@
   Facts.Budget = retryWindowAllows(Retries[R.PoolName], allowance(R.PoolName),
                                    Timers->now());
   Facts.Elsewhere = R.Attempt && hasOtherUpstream(R);
-  Facts.TimeLeft = R.Deadline - Timers->now() > MinRetryTime;
+  Facts.EnoughTime = R.Deadline - Timers->now() > MinRetryTime;
   Facts.Expired = Expired;
-  if (askForRetry(R, Facts, Answer))
+  if (requestRetry(R, Facts, Answer))
     return;
   applyDecision(R, Facts, Answer);
 }
@@ -369,7 +369,7 @@
               {"sends", R.Sends},
               {"runs", R.Runs},
               {"budget", Facts.Budget ? 1 : 0},
-              {"asked", R.RetryAsked ? 1 : 0},
+              {"asked", R.RetryRequested ? 1 : 0},
               {"took_ms",
                R.Attempt ? toMs(Timers->now() - R.Attempt->Started) : 0.0}});
   bool Streaming =
@@ -382,7 +382,7 @@
     return Streaming ? finishStream(R) : finishWithAnswer(R, Answer);
   case AttemptDecision::Retry:
     if (!R.Stages.empty() && (R.HeadSent || R.InputsFreed))
-      return redoStages(R);
+      return rerunStages(R);
     return peerClosedEarly(Answer) ? retryAfterCrash(R) : sendAttempt(R.Serial);
   case AttemptDecision::RefuseNotRun:
     if (Facts.Expired)
@@ -392,9 +392,9 @@
                          : ResultCode::NoUpstream);
   case AttemptDecision::FailUnknown:
     return finish(R, ResultCode::AnswerLost);
-  case AttemptDecision::FailLate:
+  case AttemptDecision::FailDeadlinePassed:
     return finish(R, ResultCode::OutcomeUnknown);
-  case AttemptDecision::BreakOff:
+  case AttemptDecision::AbortConnection:
   case AttemptDecision::Count:
   case AttemptDecision::Invalid:
     return finish(R, ResultCode::StreamBroken);
@@ -403,7 +403,7 @@
 
 /// \return Longest time without an event after which the current attempt is
 /// given up.
-Duration GatewayService::silenceTimeout(const ForwardRequest &R) const {
+Duration GatewayService::eventTimeout(const ForwardRequest &R) const {
   constexpr Duration Unbounded = std::chrono::hours(1);
   if (!R.Route->repeatable() || R.Runs + 1 >= R.Route->Attempts)
     return Unbounded;
@@ -424,21 +424,20 @@
 /// continue at another upstream. A host that has lost power closes no
 /// connection; without the timer its stream would stall until the client gives
 /// up.
-void GatewayService::watchSilence(ForwardRequest &R) {
-  Timers->cancel(R.SilenceTimer);
-  TimePoint Due = R.Attempt->LastEventAt + silenceTimeout(R);
+void GatewayService::startEventTimer(ForwardRequest &R) {
+  Timers->cancel(R.EventTimer);
+  TimePoint Due = R.Attempt->LastEventAt + eventTimeout(R);
   if (Due >= R.Deadline)
     return;
-  R.SilenceTimer =
-      Timers->after(Due - Timers->now(), [this, Serial = R.Serial] {
-        ForwardRequest *Silent = find(Serial);
-        if (!Silent || !Silent->Attempt)
-          return;
-        TimePoint Over = Silent->Attempt->LastEventAt + silenceTimeout(*Silent);
-        if (Silent->Attempt->Paused || Timers->now() < Over)
-          return watchSilence(*Silent);
-        abandonAttempt(*Silent, "silent");
-      });
+  R.EventTimer = Timers->after(Due - Timers->now(), [this, Serial = R.Serial] {
+    ForwardRequest *Silent = find(Serial);
+    if (!Silent || !Silent->Attempt)
+      return;
+    TimePoint Over = Silent->Attempt->LastEventAt + eventTimeout(*Silent);
+    if (Silent->Attempt->Paused || Timers->now() < Over)
+      return startEventTimer(*Silent);
+    abandonAttempt(*Silent, "silent");
+  });
 }
 
 void GatewayService::abandonAttempt(ForwardRequest &R, std::string Why) {
--- a/src/gateway_metrics.cpp
+++ b/src/gateway_metrics.cpp
@@ -19,13 +19,13 @@
   return M.Routes[Key];
 }
 
-void gatewayCount(GatewayMetrics &M, const std::string &Organisation,
-                  const std::string &Route, ResultCode Code) {
+void gatewayCountRequest(GatewayMetrics &M, const std::string &Organisation,
+                         const std::string &Route, ResultCode Code) {
   ++metricsOf(M, Organisation, Route).Codes[Code];
 }
 
-void gatewayTime(GatewayMetrics &M, const std::string &Organisation,
-                 const std::string &Route, double Ms, bool OnTime) {
+void gatewayRecordLatency(GatewayMetrics &M, const std::string &Organisation,
+                          const std::string &Route, double Ms, bool OnTime) {
   RouteMetrics &Found = metricsOf(M, Organisation, Route);
   Found.Latency.add(Ms);
   Found.OnTime += OnTime ? 1 : 0;
--- a/src/gateway_metrics.h
+++ b/src/gateway_metrics.h
@@ -36,12 +36,12 @@
 };
 
 /// Counts an ended request.
-void gatewayCount(GatewayMetrics &M, const std::string &Organisation,
-                  const std::string &Route, ResultCode Code);
+void gatewayCountRequest(GatewayMetrics &M, const std::string &Organisation,
+                         const std::string &Route, ResultCode Code);
 
 /// Records a request's latency to its first event, or to its end without one.
-void gatewayTime(GatewayMetrics &M, const std::string &Organisation,
-                 const std::string &Route, double Ms, bool OnTime);
+void gatewayRecordLatency(GatewayMetrics &M, const std::string &Organisation,
+                          const std::string &Route, double Ms, bool OnTime);
 
 /// \return The text of the metrics endpoint.
 std::string gatewayMetricsText(const GatewayMetrics &M,
--- a/src/gateway_plan.cpp
+++ b/src/gateway_plan.cpp
@@ -21,7 +21,7 @@
 static constexpr Duration MinStartDelay = std::chrono::milliseconds(40);
 /// Results are used this much before they expire, to allow for the network and
 /// for a call that waits at its upstream for a moment.
-static constexpr Duration ResultLifeMargin = std::chrono::milliseconds(300);
+static constexpr Duration ResultLifetimeMargin = std::chrono::milliseconds(300);
 /// A stage is done in the failure domain of its inputs if they have at least
 /// this size, in bytes. A stage has several of them, and placing it there costs
 /// nothing.
@@ -36,13 +36,13 @@
 }
 
 /// \return Time for which results of a pool can be used.
-Duration GatewayService::usableResultLife(const ForwardRequest &R,
-                                          const std::string &Pool) const {
+Duration GatewayService::usableResultLifetime(const ForwardRequest &R,
+                                              const std::string &Pool) const {
   const ServiceSpec *Service = findService(*R.Table, Pool);
   if (!Service || !Service->Batch ||
-      Service->Batch->ResultLife <= ResultLifeMargin)
+      Service->Batch->ResultLifetime <= ResultLifetimeMargin)
     return std::chrono::hours(1);
-  return Service->Batch->ResultLife - ResultLifeMargin;
+  return Service->Batch->ResultLifetime - ResultLifetimeMargin;
 }
 
 /// \return Time until which a stage's inputs can be read. If the stage begins
@@ -54,8 +54,9 @@
     auto Input = static_cast<std::size_t>(Needed);
     if (R.Stages[Input].Handles.empty())
       continue;
-    Last = std::min(Last, R.Stages[Input].DoneAt +
-                              usableResultLife(R, R.Route->Stages[Input].Pool));
+    Last = std::min(Last,
+                    R.Stages[Input].DoneAt +
+                        usableResultLifetime(R, R.Route->Stages[Input].Pool));
   }
   return Last;
 }
--- a/src/gateway_quarantine.cpp
+++ b/src/gateway_quarantine.cpp
@@ -9,7 +9,7 @@
 /// longer than a report takes to the nodes that decide on a quarantine, and
 /// their notice back: without the pause the last retry would be sent just
 /// before the request is quarantined.
-static constexpr Duration CrashRetryPause = std::chrono::milliseconds(20);
+static constexpr Duration CrashRetryDelay = std::chrono::milliseconds(20);
 
 /// Reports whether an ended attempt crashed its upstream or ran well.
 void GatewayService::reportRun(const ForwardRequest &R,
@@ -19,11 +19,11 @@
     return Quarantined->upstreamEnded(R.Attempt->Address, {R.Content});
   // An error answer counts, too: the upstream ran the request and is alive.
   if (Outcome == AttemptOutcome::Success || Effect == AttemptEffect::Ran)
-    Quarantined->ranWell(R.Content);
+    Quarantined->recordSuccess(R.Content);
 }
 
 void GatewayService::retryAfterCrash(ForwardRequest &R) {
-  R.RetryTimer = Timers->after(CrashRetryPause, [this, Serial = R.Serial] {
+  R.RetryTimer = Timers->after(CrashRetryDelay, [this, Serial = R.Serial] {
     if (find(Serial))
       sendAttempt(Serial);
   });
--- a/src/gateway_rate_limit.cpp
+++ b/src/gateway_rate_limit.cpp
@@ -14,7 +14,7 @@
 
 /// Reports the rate limit in the head of an answer, or that it has none.
 void GatewayService::reportRateLimit(const ForwardRequest &R,
-                                     const ForwardReply &Reply) {
+                                     const ForwardResponseInfo &Reply) {
   const Upstream *U = upstreamById(Pools[R.PoolName], R.Attempt->Upstream);
   if (!U || Reply.Elsewhere)
     return;
@@ -35,7 +35,7 @@
 /// some upstream of the pool has no rate limit.
 std::optional<double> GatewayService::limitedRate(const Pool &P) const {
   RouterPolicy AnyTurn = Policy;
-  AnyTurn.KeepPace = false;
+  AnyTurn.RespectSendPace = false;
   double PerSecond = 0;
   for (const Upstream &U : P.Upstreams) {
     if (!upstreamEligible(U, AnyTurn, Timers->now()))
@@ -64,8 +64,8 @@
     return std::nullopt;
   }
   Duration Spare = R.OnTimeBy - R.Arrived - R.Expected;
-  return limitQueueTake(LimitQueues[R.PoolName], *PerSecond,
-                        std::max(Duration::zero(), Spare), Timers->now());
+  return limitQueueAdmit(LimitQueues[R.PoolName], *PerSecond,
+                         std::max(Duration::zero(), Spare), Timers->now());
 }
 
 /// \return Turns of a node at an upstream with a rate limit.
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -88,9 +88,9 @@
   std::optional<ForwardAttempt> Attempt; ///< Attempt in progress.
   std::vector<UpstreamId> Tried;         ///< Upstreams that it was sent to.
   std::optional<EndedAttempt> Ended;     ///< Waits for a RetryAnswer.
-  bool RetryAsked = false;               ///< A RetryAsk was sent for it.
+  bool RetryRequested = false;           ///< A RetryAsk was sent for it.
   bool RetryLent = false;             ///< Another node counts its next repeat.
-  bool TurnAsked = false;             ///< A TurnAsk was sent for it.
+  bool TurnRequested = false;         ///< A TurnAsk was sent for it.
   std::optional<UpstreamId> LentTurn; ///< Upstream of a turn lent to it.
   int Sends = 0;                      ///< Attempts that were sent.
   int Runs = 0;                       ///< Attempts that ran or may have run.
@@ -102,7 +102,7 @@
   Duration Expected{};   ///< Time it should take, estimated at admission.
   Duration RetryIn{};    ///< Time until a retry, if it is refused.
   TimerId DeadlineTimer; ///< Ends it at Deadline.
-  TimerId SilenceTimer;  ///< Ends a silent attempt.
+  TimerId EventTimer;    ///< Ends a silent attempt.
   TimerId RetryTimer;    ///< Sends it after a wait.
   TimerId ReadTimer;     ///< Frees results that its upstream should have read.
   bool InputsFreed = false; ///< Freed; another attempt needs new ones.
--- a/src/gateway_restart.cpp
+++ b/src/gateway_restart.cpp
@@ -57,18 +57,18 @@
     abandonAttempt(*R, "upstream started again");
   }
   for (RequestSerial Serial : LostInputs)
-    redoLostResults(Serial);
+    rerunLostStages(Serial);
 }
 
 /// Redoes the stages of a request whose results are lost, but only once. A
 /// request without time for a third round fails when its upstream finds the
 /// inputs missing.
-void GatewayService::redoLostResults(RequestSerial Serial) {
+void GatewayService::rerunLostStages(RequestSerial Serial) {
   ForwardRequest *R = find(Serial);
   if (!R || R->Attempt || R->StageRounds > 1)
     return;
   R->LastFailure = "results lost";
-  redoStages(*R);
+  rerunStages(*R);
 }
 
 } // namespace fulmar
--- a/src/gateway_retry.cpp
+++ b/src/gateway_retry.cpp
@@ -46,9 +46,9 @@
 /// Asks another node for a repeat, if an ended attempt would be retried but for
 /// the budget.
 /// \return Whether the request waits for the answer.
-bool GatewayService::askForRetry(ForwardRequest &R, AttemptFacts Facts,
-                                 const HttpResponse &Answer) {
-  if (Facts.Budget || R.RetryAsked || !retryShareBelowOne(allowance()))
+bool GatewayService::requestRetry(ForwardRequest &R, AttemptFacts Facts,
+                                  const HttpResponse &Answer) {
+  if (Facts.Budget || R.RetryRequested || !retryShareBelowOne(allowance()))
     return false;
   Facts.Budget = true;
   if (attemptDecisionAfter(Facts) != AttemptDecision::Retry)
@@ -57,7 +57,7 @@
   std::string Owner = retryOwner(R.PoolName);
   if (Owner.empty())
     return false;
-  R.RetryAsked = true;
+  R.RetryRequested = true;
   R.Ended = {Facts, Answer, R.Attempt && R.Attempt->Streaming};
   recordOutcome(R, Facts.Outcome, Facts.Effect);
   closeAttempt(R);
--- a/src/gateway_service.cpp
+++ b/src/gateway_service.cpp
@@ -265,7 +265,7 @@
   R.Exchange->OnClosed = nullptr;
   R.Exchange->OnDrained = nullptr;
   Timers->cancel(R.DeadlineTimer);
-  Timers->cancel(R.SilenceTimer);
+  Timers->cancel(R.EventTimer);
   Timers->cancel(R.ReadTimer);
   Timers->cancel(R.StageTimer);
   Timers->cancel(R.RetryTimer);
@@ -296,9 +296,9 @@
     logRoutine("request_done", Fields);
   else
     logEvent(LogLevel::Info, "request_done", Fields);
-  gatewayCount(Metrics, R.Organisation, R.Route->Name, Code);
-  gatewayTime(Metrics, R.Organisation, R.Route->Name, toMs(Useful - R.Arrived),
-              OnTime);
+  gatewayCountRequest(Metrics, R.Organisation, R.Route->Name, Code);
+  gatewayRecordLatency(Metrics, R.Organisation, R.Route->Name,
+                       toMs(Useful - R.Arrived), OnTime);
   Requests.erase(R.Serial);
 }
 
--- a/src/gateway_service.h
+++ b/src/gateway_service.h
@@ -79,17 +79,17 @@
   void accept(const HttpExchangePtr &Exchange);
   ResultCode admit(ForwardRequest &R);
   void refuseAdmission(const ForwardRequest &R, ResultCode Code);
-  bool cannotEndInGrace(const ForwardRequest &R) const;
+  bool cannotEndBeforeStop(const ForwardRequest &R) const;
 
   // gateway_stages.cpp: stages before a request's run.
   void beginStages(ForwardRequest &R);
   void startReadyStages(RequestSerial Serial);
   void beginStage(ForwardRequest &R, std::size_t Index);
-  void askStage(ForwardRequest &R, std::size_t Index);
+  void submitStage(ForwardRequest &R, std::size_t Index);
 
   // gateway_plan.cpp: expected times, begin and placement of stages.
-  Duration usableResultLife(const ForwardRequest &R,
-                            const std::string &Pool) const;
+  Duration usableResultLifetime(const ForwardRequest &R,
+                                const std::string &Pool) const;
   TimePoint inputsExpireAt(const ForwardRequest &R, std::size_t Index) const;
   Duration stageTime(const ForwardRequest &R, std::size_t Index) const;
   Duration chainRemaining(const ForwardRequest &R, std::size_t Index) const;
@@ -98,7 +98,7 @@
   Duration expectedLatePath(const ForwardRequest &R) const;
   std::string bestDomain(const ForwardRequest &R, std::size_t Index);
   std::string domainOfInputs(const ForwardRequest &R, std::size_t Index) const;
-  bool mayRedo(const ForwardRequest &R, std::size_t Index, BatchEnd End) const;
+  bool mayRerun(const ForwardRequest &R, std::size_t Index, BatchEnd End) const;
   void stageEnded(RequestSerial Serial, std::size_t Index,
                   const BatchResult &Result);
   void freeInputsOf(ForwardRequest &R, std::size_t Index);
@@ -109,7 +109,7 @@
 
   // gateway_restart.cpp: upstreams that restart.
   void upstreamRestarted(const UpstreamRestart &Restart);
-  void redoLostResults(RequestSerial Serial);
+  void rerunLostStages(RequestSerial Serial);
 
   // gateway_quarantine.cpp: requests that crash upstreams.
   void reportRun(const ForwardRequest &R, const HttpResponse &Answer,
@@ -120,7 +120,8 @@
   void endQuarantined(Fingerprint Content);
 
   // gateway_rate_limit.cpp: upstreams that announce a rate limit.
-  void reportRateLimit(const ForwardRequest &R, const ForwardReply &Reply);
+  void reportRateLimit(const ForwardRequest &R,
+                       const ForwardResponseInfo &Reply);
   void rateLimitChanged(const Incarnation &Start);
   std::optional<double> limitedRate(const Pool &P) const;
   std::optional<Duration> limitedWait(const ForwardRequest &R);
@@ -131,7 +132,7 @@
 
   // gateway_turns.cpp: send turns lent between nodes.
   std::string turnOwner(const Upstream &U);
-  bool askForTurn(ForwardRequest &R, Pool &P, const ChoiceHints &Hints);
+  bool requestTurn(ForwardRequest &R, Pool &P, const ChoiceHints &Hints);
   void lendTurn(const std::string &From, const TurnAsk &Ask);
   void turnAnswered(const TurnAnswer &Answer);
   bool waitForTurn(ForwardRequest &R, const Pool &P);
@@ -140,8 +141,8 @@
   // gateway_retry.cpp: repeats lent between nodes.
   RetryAllowance allowance(const std::string &Pool) const;
   std::string retryOwner(const std::string &Pool);
-  bool askForRetry(ForwardRequest &R, AttemptFacts Facts,
-                   const HttpResponse &Answer);
+  bool requestRetry(ForwardRequest &R, AttemptFacts Facts,
+                    const HttpResponse &Answer);
   void lendRetry(const std::string &From, const RetryAsk &Ask);
   void retryAnswered(const RetryAnswer &Answer);
 
@@ -160,9 +161,9 @@
                     bool Expired);
   void applyDecision(ForwardRequest &R, const AttemptFacts &Facts,
                      const HttpResponse &Answer);
-  void redoStages(ForwardRequest &R);
-  Duration silenceTimeout(const ForwardRequest &R) const;
-  void watchSilence(ForwardRequest &R);
+  void rerunStages(ForwardRequest &R);
+  Duration eventTimeout(const ForwardRequest &R) const;
+  void startEventTimer(ForwardRequest &R);
   void closeAttempt(ForwardRequest &R);
   void dropAttempt(ForwardRequest &R);
   void recordOutcome(ForwardRequest &R, AttemptOutcome Outcome,
--- a/src/gateway_stages.cpp
+++ b/src/gateway_stages.cpp
@@ -41,7 +41,7 @@
 void GatewayService::beginStage(ForwardRequest &R, std::size_t Index) {
   Duration Hold = startDelay(R, Index);
   if (Hold == Duration::zero())
-    return askStage(R, Index);
+    return submitStage(R, Index);
   Timers->cancel(R.StageTimer);
   R.StageTimer = Timers->after(Hold, [this, Serial = R.Serial] {
     if (find(Serial))
@@ -81,7 +81,7 @@
   sendAttempt(Serial);
 }
 
-void GatewayService::askStage(ForwardRequest &R, std::size_t Index) {
+void GatewayService::submitStage(ForwardRequest &R, std::size_t Index) {
   const RouteStage &Spec = R.Route->Stages[Index];
   StageProgress &Stage = R.Stages[Index];
   Stage.State = StageState::Running;
@@ -131,8 +131,8 @@
 /// \return Whether all stages are redone after one has failed: its inputs are
 /// gone, or would have expired before its turn and the client still waits for
 /// longer than the whole request should take. Stages are redone only once.
-bool GatewayService::mayRedo(const ForwardRequest &R, std::size_t Index,
-                             BatchEnd End) const {
+bool GatewayService::mayRerun(const ForwardRequest &R, std::size_t Index,
+                              BatchEnd End) const {
   if (R.StageRounds > 1 || R.Route->Stages[Index].After.empty())
     return false;
   if (End == BatchEnd::InputsGone)
@@ -159,8 +159,8 @@
               {"pool_retry_in_ms", toMs(Result.RetryIn)}});
     Stage.State = StageState::Done;
     R->LastFailure = batchEndName(Result.End);
-    if (mayRedo(*R, Index, Result.End))
-      return redoStages(*R);
+    if (mayRerun(*R, Index, Result.End))
+      return rerunStages(*R);
     return finish(*R, stageCode(Result.End), Result.RetryIn);
   }
   Stage.State = StageState::Done;
@@ -226,7 +226,7 @@
 
 /// Redoes all stages. A result was lost before its use, because its upstream
 /// ended or did not keep it for long enough, or it has been freed already.
-void GatewayService::redoStages(ForwardRequest &R) {
+void GatewayService::rerunStages(ForwardRequest &R) {
   logEvent(LogLevel::Info, "stages_redone",
            {{"id", R.Ask.RequestId}, {"rounds", R.StageRounds}});
   cancelStages(R);
--- a/src/gateway_turns.cpp
+++ b/src/gateway_turns.cpp
@@ -24,13 +24,14 @@
 static constexpr Duration MinTurnWait = std::chrono::milliseconds(20);
 /// Backoff of a node's asks for turns at one upstream after a refusal: this
 /// fraction of the time between the turns of two nodes, with a lower bound.
-static constexpr double AskBackoffFraction = 0.25;
-static constexpr Duration MinAskBackoff = std::chrono::milliseconds(100);
+static constexpr double TurnAskBackoffFraction = 0.25;
+static constexpr Duration MinTurnAskBackoff = std::chrono::milliseconds(100);
 
 /// \return Time until a node that was refused a turn asks again.
-static Duration askBackoff(Duration Interval, double Nodes) {
-  return std::max(MinAskBackoff, fromMs(toMs(Interval) / std::max(1.0, Nodes) *
-                                        AskBackoffFraction));
+static Duration turnAskBackoff(Duration Interval, double Nodes) {
+  return std::max(
+      MinTurnAskBackoff,
+      fromMs(toMs(Interval) / std::max(1.0, Nodes) * TurnAskBackoffFraction));
 }
 
 /// \return Another node whose turn it is to send to \p U; empty: none is known.
@@ -53,13 +54,13 @@
 /// Asks another node for its turn, if the best upstream for a request has a
 /// rate limit and it is not this node's turn. \return Whether the request waits
 /// for the answer.
-bool GatewayService::askForTurn(ForwardRequest &R, Pool &P,
-                                const ChoiceHints &Hints) {
-  if (R.TurnAsked || RateLimited->size() == 0)
+bool GatewayService::requestTurn(ForwardRequest &R, Pool &P,
+                                 const ChoiceHints &Hints) {
+  if (R.TurnRequested || RateLimited->size() == 0)
     return false;
   TimePoint Now = Timers->now();
   RouterPolicy AnyTurn = Policy;
-  AnyTurn.KeepPace = false;
+  AnyTurn.RespectSendPace = false;
   auto Best = chooseUpstream(P, AnyTurn, Hints, Rng, Now);
   if (!Best)
     return false;
@@ -69,7 +70,7 @@
   std::string Owner = turnOwner(U);
   if (Owner.empty())
     return false;
-  R.TurnAsked = true;
+  R.TurnRequested = true;
   Peers->sendTo(Owner, TurnAsk{R.Serial.Value, U.Start});
   R.RetryTimer = Timers->after(TurnAskTimeout, [this, Serial = R.Serial] {
     if (find(Serial))
@@ -98,7 +99,8 @@
 /// Handles the answer to a TurnAsk.
 void GatewayService::turnAnswered(const TurnAnswer &Answer) {
   ForwardRequest *R = find(RequestSerial{Answer.Serial});
-  bool Waits = R && R->TurnAsked && !R->Attempt && R->RetryTimer != TimerId{};
+  bool Waits =
+      R && R->TurnRequested && !R->Attempt && R->RetryTimer != TimerId{};
   if (!Waits)
     return;
   for (Upstream &U : Pools[R->PoolName].Upstreams) {
@@ -106,7 +108,7 @@
       continue;
     if (!Answer.Lent)
       U.NextAsk =
-          Timers->now() + askBackoff(U.Pace.Turns.Interval, MaxNodesSeen);
+          Timers->now() + turnAskBackoff(U.Pace.Turns.Interval, MaxNodesSeen);
     else
       R->LentTurn = U.Id;
   }
@@ -126,7 +128,7 @@
   if (!Lent)
     return std::nullopt;
   RouterPolicy AnyTurn = Policy;
-  AnyTurn.KeepPace = false;
+  AnyTurn.RespectSendPace = false;
   for (std::size_t I = 0; I < P.Upstreams.size(); ++I) {
     const Upstream &U = P.Upstreams[I];
     if (U.Id == *Lent && upstreamEligible(U, AnyTurn, Timers->now()))
@@ -152,7 +154,7 @@
   }
   if (Next == TimePoint::max() || Next + timesOf(R).FirstEvent > R.OnTimeBy)
     return false;
-  R.TurnAsked = false;
+  R.TurnRequested = false;
   Duration Wait = std::max(MinTurnWait, Next - Now);
   R.RetryTimer = Timers->after(Wait, [this, Serial = R.Serial] {
     if (find(Serial))
--- a/src/host_list_service.cpp
+++ b/src/host_list_service.cpp
@@ -61,11 +61,11 @@
   if (!Good) {
     // Keep the stale list: requests to removed upstreams fail and show that
     // they are gone, and new upstreams can be added later.
-    if (FailuresInRow++ == 0)
+    if (ConsecutiveFailures++ == 0)
       logEvent(LogLevel::Warning, "host_list_unavailable", {});
     return false;
   }
-  FailuresInRow = 0;
+  ConsecutiveFailures = 0;
   if (Answer.Status == HttpNotModified)
     return true;
   Diagnostics Wrong;
--- a/src/host_list_service.h
+++ b/src/host_list_service.h
@@ -27,7 +27,7 @@
   void refresh(std::function<void()> Done);
 
   /// \return Number of consecutive failed reads; 0: the list is up to date.
-  int failures() const { return FailuresInRow; }
+  int failures() const { return ConsecutiveFailures; }
   /// \return Whether the list has been read at least once.
   bool known() const { return Known; }
 
@@ -47,8 +47,8 @@
   std::map<std::string, std::vector<UpstreamSpec>> Listed; ///< List, by pool.
   std::map<std::string, Subset> Subsets; ///< Upstreams in use, by pool.
   std::string Tag;                       ///< ETag of the last list.
-  bool Known = false;    ///< Whether the list has been read at least once.
-  int FailuresInRow = 0; ///< Consecutive failed reads.
+  bool Known = false; ///< Whether the list has been read at least once.
+  int ConsecutiveFailures = 0; ///< Consecutive failed reads.
 };
 
 } // namespace fulmar
--- a/src/join_service.cpp
+++ b/src/join_service.cpp
@@ -26,10 +26,10 @@
 static constexpr Duration RenewPeriod = std::chrono::seconds(8);
 /// A node that knew no other node when it joined reads the entries again after
 /// this time: other nodes may have been rewriting theirs.
-static constexpr Duration LoneNodeDelay = std::chrono::seconds(2);
+static constexpr Duration SingleNodeDelay = std::chrono::seconds(2);
 /// Pause before a retry of a failed call, and the largest jitter added to it.
 static constexpr Duration RetryPause = std::chrono::milliseconds(60);
-static constexpr Duration RetrySpread = std::chrono::milliseconds(120);
+static constexpr Duration RetryJitter = std::chrono::milliseconds(120);
 /// After the key-value service has been restored from an older copy, all nodes
 /// rewrite their entries, spread over this time.
 static constexpr Duration EpochSpread = std::chrono::milliseconds(1200);
@@ -75,7 +75,7 @@
 }
 
 /// Adopts the secret in the key-value service, replacing an older one.
-void JoinService::takeKey(const std::string &Kept) {
+void JoinService::adoptKey(const std::string &Kept) {
   if (std::exchange(Key, Kept) == Kept || Incarnation == 0)
     return;
   Services.find<PeerService>(service::Peers).join(Key, Incarnation);
@@ -92,10 +92,10 @@
                if (Status != KvStatus::Ok)
                  return retryLater(&JoinService::confirmKey, Status);
                if (Kept.Value == Key)
-                 return takeLease();
+                 return acquireLease();
                if (!Kept.Value.empty()) {
-                 takeKey(Kept.Value);
-                 return takeLease();
+                 adoptKey(Kept.Value);
+                 return acquireLease();
                }
                Store->cas(KeyName, Key, 0, [this, Now](KvStatus) {
                  if (Now == Generation)
@@ -111,7 +111,7 @@
              {{"unknown", Why == KvStatus::Unknown ? 1 : 0}});
   int Factor = std::min(MaxPauseFactor, 1 + Failures / FailuresPerPauseStep);
   Duration Pause =
-      (RetryPause + fromMs(toMs(RetrySpread) * randomUnit(Rng))) * Factor;
+      (RetryPause + fromMs(toMs(RetryJitter) * randomUnit(Rng))) * Factor;
   Timers->after(Pause, [this, Step, Now = Generation] {
     if (Now == Generation)
       (this->*Step)();
@@ -144,7 +144,7 @@
   std::vector<HostPort> Seeds;
   for (const KvItem &Item : Found.Items) {
     if (Item.Key == KeyName)
-      takeKey(Item.Value);
+      adoptKey(Item.Value);
     auto Address = parseHostPort(Item.Value);
     if (isNodeEntry(Item) && Address)
       Seeds.push_back(*Address);
@@ -153,7 +153,7 @@
   if (Key.empty())
     return createKey();
   if (Lease == 0)
-    takeLease();
+    acquireLease();
 }
 
 void JoinService::createKey() {
@@ -169,13 +169,13 @@
              });
 }
 
-void JoinService::takeLease() {
+void JoinService::acquireLease() {
   Leases->grant(LeaseTime, [this, Now = Generation](KvStatus Status,
                                                     std::uint64_t Number) {
     if (Now != Generation)
       return;
     if (Status != KvStatus::Ok)
-      return retryLater(&JoinService::takeLease, Status);
+      return retryLater(&JoinService::acquireLease, Status);
     Lease = Number;
     writeEntry();
   });
@@ -191,7 +191,7 @@
           return;
         if (Status == KvStatus::Conflict) {
           Lease = 0;
-          return retryLater(&JoinService::takeLease, Status);
+          return retryLater(&JoinService::acquireLease, Status);
         }
         // Retry a write whose response was lost: the incarnation needs a known
         // revision.
@@ -208,7 +208,7 @@
         Services.find<PeerService>(service::Peers).join(Key, Incarnation);
         Members->join(Incarnation);
         logEvent(LogLevel::Info, "fleet_joined", {{"incarnation", Revision}});
-        Timers->after(LoneNodeDelay, [this] { readIfAlone(); });
+        Timers->after(SingleNodeDelay, [this] { readIfAlone(); });
       });
 }
 
@@ -240,7 +240,7 @@
     if (Status == KvStatus::Conflict) {
       logEvent(LogLevel::Warning, "node_entry_lapsed", {{"lease", Lease}});
       Lease = 0;
-      return takeLease();
+      return acquireLease();
     }
     scheduleRenewal();
   });
--- a/src/join_service.h
+++ b/src/join_service.h
@@ -40,7 +40,7 @@
   void read();
   void applyItems(const KvItems &Found);
   void createKey();
-  void takeLease();
+  void acquireLease();
   void writeEntry();
   void renew();
   void retryLater(void (JoinService::*Step)(), KvStatus Why);
@@ -48,7 +48,7 @@
   void readIfAlone();
   void epochBegan();
   void confirmKey();
-  void takeKey(const std::string &Kept);
+  void adoptKey(const std::string &Kept);
 
   Kernel &Services;                 ///< Looks up other services.
   const Settings &Config;           ///< Id and address of this node.
--- a/src/ledger.cpp
+++ b/src/ledger.cpp
@@ -200,8 +200,8 @@
 }
 
 /// Takes over operations whose preferred writer timed out.
-static void takeOverSilent(Ledger &L, TimePoint Now, WallMs Wall,
-                           LedgerActions &Out) {
+static void takeOverTimedOut(Ledger &L, TimePoint Now, WallMs Wall,
+                             LedgerActions &Out) {
   // Taking an operation over can decide it and others, which removes them from
   // the map, so the keys are collected first.
   std::vector<LocalOpKey> Silent;
@@ -221,7 +221,7 @@
 }
 
 void ledgerTick(Ledger &L, TimePoint Now, WallMs Wall, LedgerActions &Out) {
-  takeOverSilent(L, Now, Wall, Out);
+  takeOverTimedOut(L, Now, Wall, Out);
   for (LedgerShard &Shard : L.Shards)
     shardAdvance(L, Shard, Now, Wall, Out);
 }
--- a/src/ledger_base.h
+++ b/src/ledger_base.h
@@ -55,10 +55,10 @@
       NewSegment;                   ///< Segment written for the next commit.
   std::uint64_t AwaitedSegment = 0; ///< Name of the segment being read.
   TimePoint CommitAfter{};          ///< Operations are batched until then.
-  TimePoint RetryAfter{}; ///< End of the backoff after a store failure.
-  int FailuresInRow = 0;  ///< Consecutive store failures, for the backoff.
-  double WriteTokens = 0; ///< Token bucket of writes.
-  TimePoint LastRefill{}; ///< When WriteTokens was last updated.
+  TimePoint RetryAfter{};      ///< End of the backoff after a store failure.
+  int ConsecutiveFailures = 0; ///< Consecutive store failures, for the backoff.
+  double WriteTokens = 0;      ///< Token bucket of writes.
+  TimePoint LastRefill{};      ///< When WriteTokens was last updated.
 };
 
 /// An operation requested by this node, until it is decided.
@@ -134,7 +134,7 @@
   std::uint64_t Unknown = 0;   ///< Writes with an unknown outcome.
   /// Operations taken over after the preferred writer timed out.
   std::uint64_t Fallbacks = 0;
-  std::uint64_t Rolled = 0; ///< Heads moved into segments.
+  std::uint64_t HeadFlushes = 0; ///< Heads moved into segments.
 };
 
 /// The ledger of one node: commits the operations of the shards that it writes,
--- a/src/ledger_service.cpp
+++ b/src/ledger_service.cpp
@@ -78,7 +78,7 @@
 
 void LedgerService::perform(const LedgerActions &Actions) {
   for (const LedgerAction &Action : Actions)
-    std::visit([this](const auto &A) { carryOut(A); }, Action);
+    std::visit([this](const auto &A) { performAction(A); }, Action);
   arm();
 }
 
@@ -95,7 +95,7 @@
   });
 }
 
-void LedgerService::carryOut(const ReadHeadAction &Action) {
+void LedgerService::performAction(const ReadHeadAction &Action) {
   ShardId Shard = Action.Shard;
   Kv->get(headKey(Shard), [this, Shard](KvStatus Status, const KvEntry &E) {
     auto Head = decodeHead(E.Value);
@@ -107,7 +107,7 @@
   });
 }
 
-void LedgerService::carryOut(const ReadSegmentAction &Action) {
+void LedgerService::performAction(const ReadSegmentAction &Action) {
   ShardId Shard = Action.Shard;
   std::uint64_t Name = Action.Name;
   Kv->get(segmentKey(Shard, Name),
@@ -125,7 +125,7 @@
           });
 }
 
-void LedgerService::carryOut(const WriteHeadAction &Action) {
+void LedgerService::performAction(const WriteHeadAction &Action) {
   ShardId Shard = Action.Shard;
   Kv->cas(headKey(Shard), encodeHead(Action.Head), Action.Index,
           [this, Shard](KvStatus Status) {
@@ -136,7 +136,7 @@
           });
 }
 
-void LedgerService::carryOut(const WriteSegmentAction &Action) {
+void LedgerService::performAction(const WriteSegmentAction &Action) {
   ShardId Shard = Action.Shard;
   Kv->cas(segmentKey(Shard, Action.Name), encodeSegment(Action.Entries), 0,
           [this, Shard](KvStatus Status) {
@@ -147,19 +147,19 @@
           });
 }
 
-void LedgerService::carryOut(const RemoveSegmentAction &Action) {
+void LedgerService::performAction(const RemoveSegmentAction &Action) {
   Kv->remove(segmentKey(Action.Shard, Action.Name));
 }
 
-void LedgerService::carryOut(const SendOpAction &Action) {
+void LedgerService::performAction(const SendOpAction &Action) {
   Peers->sendTo(Action.Node, Action.Op);
 }
 
-void LedgerService::carryOut(const SendResultAction &Action) {
+void LedgerService::performAction(const SendResultAction &Action) {
   Peers->sendTo(Action.Node, Action.Result);
 }
 
-void LedgerService::carryOut(const ClaimDecidedAction &Action) {
+void LedgerService::performAction(const ClaimDecidedAction &Action) {
   Router->claimDecided(Action.Request, Action.Verdict, Action.EarlierCode);
 }
 
--- a/src/ledger_service.h
+++ b/src/ledger_service.h
@@ -37,14 +37,14 @@
   /// Runs one ledger event and performs the resulting actions.
   template <typename Fn> void feed(Fn Event);
   void perform(const LedgerActions &Actions);
-  void carryOut(const ReadHeadAction &Action);
-  void carryOut(const ReadSegmentAction &Action);
-  void carryOut(const WriteHeadAction &Action);
-  void carryOut(const WriteSegmentAction &Action);
-  void carryOut(const RemoveSegmentAction &Action);
-  void carryOut(const SendOpAction &Action);
-  void carryOut(const SendResultAction &Action);
-  void carryOut(const ClaimDecidedAction &Action);
+  void performAction(const ReadHeadAction &Action);
+  void performAction(const ReadSegmentAction &Action);
+  void performAction(const WriteHeadAction &Action);
+  void performAction(const WriteSegmentAction &Action);
+  void performAction(const RemoveSegmentAction &Action);
+  void performAction(const SendOpAction &Action);
+  void performAction(const SendResultAction &Action);
+  void performAction(const ClaimDecidedAction &Action);
   void arm();
 
   Kernel &Services;                 ///< Finds the other services.
--- a/src/ledger_shard.cpp
+++ b/src/ledger_shard.cpp
@@ -207,11 +207,11 @@
   Shard.HeadKnown = false;
   // Jitter: otherwise all nodes would retry at once when an outage ends.
   double Factor = 0.5 + randomUnit(L.Rng);
-  Duration Wait = InitialBackoff *
-                  (1 << std::min(Shard.FailuresInRow, MaxBackoffDoublings));
+  Duration Wait = InitialBackoff * (1 << std::min(Shard.ConsecutiveFailures,
+                                                  MaxBackoffDoublings));
   Shard.RetryAfter = Now + fromMs(toMs(Wait) * Factor);
-  ++Shard.FailuresInRow;
-  if (Shard.FailuresInRow > 1)
+  ++Shard.ConsecutiveFailures;
+  if (Shard.ConsecutiveFailures > 1)
     refuseClaims(L, Shard, Out);
 }
 
@@ -240,7 +240,7 @@
 }
 
 /// Moves the head's entries into a new segment.
-static void rollHead(Ledger &L, LedgerShard &Shard, LedgerActions &Out) {
+static void flushHead(Ledger &L, LedgerShard &Shard, LedgerActions &Out) {
   SegmentRef Ref;
   // A random name: two concurrent writers must not write the same segment, or
   // the loser could overwrite the one that the winner's head refers to.
@@ -249,7 +249,7 @@
     Ref.ExpiresMs = std::max(Ref.ExpiresMs, E.ExpiresMs);
   Shard.NewSegment = Ref;
   Shard.Phase = ShardPhase::WritingSegment;
-  ++L.Counts.Rolled;
+  ++L.Counts.HeadFlushes;
   Out.push_back(WriteSegmentAction{Shard.Id, Ref.Name, Shard.Head.Entries});
 }
 
@@ -320,7 +320,7 @@
     return;
   }
   if (Shard.Head.Entries.size() >= L.MaxHeadEntries && !Shard.NewSegment)
-    return rollHead(L, Shard, Out);
+    return flushHead(L, Shard, Out);
   writeHead(L, Shard, Now, Wall, Out);
 }
 
@@ -344,7 +344,7 @@
   LedgerShard &Shard = L.Shards[Id.Value];
   if (Status != KvStatus::Ok)
     return startBackoff(L, Shard, Now, Out);
-  Shard.FailuresInRow = 0;
+  Shard.ConsecutiveFailures = 0;
   Shard.Phase = ShardPhase::Idle;
   Shard.HeadKnown = true;
   Shard.HeadCoversQueue = Shard.ReadCoversQueue;
@@ -394,7 +394,7 @@
     shardAdvance(L, Shard, Now, Wall, Out);
     return;
   }
-  Shard.FailuresInRow = 0;
+  Shard.ConsecutiveFailures = 0;
   Shard.NewSegment.reset();
   ++L.Counts.Commits;
   L.Counts.Committed += Shard.InWrite.size();
--- a/src/limit_queue.h
+++ b/src/limit_queue.h
@@ -18,9 +18,10 @@
 /// Admits one request, where this node may send \p PerSecond and the request
 /// can wait for \p MaxWait.
 /// \return Nothing when it is admitted; otherwise the delay until a retry.
-inline std::optional<Duration> limitQueueTake(LimitQueue &Queue,
-                                              double PerSecond,
-                                              Duration MaxWait, TimePoint Now) {
+inline std::optional<Duration> limitQueueAdmit(LimitQueue &Queue,
+                                               double PerSecond,
+                                               Duration MaxWait,
+                                               TimePoint Now) {
   constexpr double MsPerSecond = 1e3;
   TimePoint Slot = std::max(Now, Queue.NextSlot);
   if (Slot - Now > MaxWait)
--- a/src/log_budget.h
+++ b/src/log_budget.h
@@ -23,7 +23,7 @@
 
 /// Takes a token for one line.
 /// \return Whether the line may be written; if not, it is counted as dropped.
-inline bool logBudgetTake(LogBudget &B, TimePoint Now) {
+inline bool logBudgetAcquire(LogBudget &B, TimePoint Now) {
   double Seconds = toMs(Now - B.LastRefill) / 1e3;
   B.Available = std::min(B.Capacity, B.Available + Seconds * B.PerSecond);
   B.LastRefill = Now;
--- a/src/member.cpp
+++ b/src/member.cpp
@@ -179,7 +179,7 @@
   return Out;
 }
 
-void memberSeeds(Membership &M, const std::vector<HostPort> &Seeds) {
+void memberSetSeeds(Membership &M, const std::vector<HostPort> &Seeds) {
   M.Seeds.clear();
   for (const HostPort &Seed : Seeds) {
     if (Seed != addressOf(M.Self))
@@ -487,8 +487,8 @@
        Message.Target, Out);
 }
 
-void memberReceived(Membership &M, const MemberMessage &Message, TimePoint Now,
-                    MemberActions &Out) {
+void memberHandleMessage(Membership &M, const MemberMessage &Message,
+                         TimePoint Now, MemberActions &Out) {
   if (Message.Updates.empty())
     return;
   std::uint64_t Before = M.Self.Incarnation;
@@ -552,7 +552,7 @@
     send(M, addressOf(Other), MemberMessageKind::Gossip, 0, "", Out);
 }
 
-void memberLeaving(Membership &M, TimePoint, MemberActions &Out) {
+void memberSetLeaving(Membership &M, TimePoint, MemberActions &Out) {
   M.Self.State = MemberState::Leaving;
   ++M.Changes;
   announce(M, Out);
@@ -575,7 +575,8 @@
   M.NextPull = Now + fromMs(toMs(FirstPullDelay) * (0.5 + randomUnit(M.Rng)));
 }
 
-void memberFitness(Membership &M, bool Fit, bool CanRead, MemberActions &Out) {
+void memberSetFitness(Membership &M, bool Fit, bool CanRead,
+                      MemberActions &Out) {
   if (M.Self.Unfit == !Fit && M.Self.CannotRead == !CanRead)
     return;
   M.Self.Unfit = !Fit;
--- a/src/member_func.h
+++ b/src/member_func.h
@@ -17,8 +17,8 @@
 TimePoint memberNextDue(const Membership &M);
 
 /// Processes a message from another node.
-void memberReceived(Membership &M, const MemberMessage &Message, TimePoint Now,
-                    MemberActions &Out);
+void memberHandleMessage(Membership &M, const MemberMessage &Message,
+                         TimePoint Now, MemberActions &Out);
 
 /// Sets the incarnation of this process and sends join and hello messages to
 /// seeds at once.
@@ -26,10 +26,10 @@
                 MemberActions &Out);
 
 /// Replaces the seeds: addresses at which nodes may run.
-void memberSeeds(Membership &M, const std::vector<HostPort> &Seeds);
+void memberSetSeeds(Membership &M, const std::vector<HostPort> &Seeds);
 
 /// Marks this node as leaving and announces it to some nodes at once.
-void memberLeaving(Membership &M, TimePoint Now, MemberActions &Out);
+void memberSetLeaving(Membership &M, TimePoint Now, MemberActions &Out);
 
 /// Marks this node as dead and announces it, so that the others need not
 /// suspect it first.
@@ -37,7 +37,8 @@
 
 /// Sets whether callers should be sent to this node, and whether it can read
 /// the key-value service. Announces changes to some nodes at once.
-void memberFitness(Membership &M, bool Fit, bool CanRead, MemberActions &Out);
+void memberSetFitness(Membership &M, bool Fit, bool CanRead,
+                      MemberActions &Out);
 
 /// \return Whether a node is ready and reads the key-value service itself. A
 /// node that learns of the service's state only through others serves as well,
--- a/src/member_service.cpp
+++ b/src/member_service.cpp
@@ -39,7 +39,7 @@
     if (auto Address = parseHostPort(Seed))
       FixedSeeds.push_back(*Address);
   }
-  memberSeeds(State, FixedSeeds);
+  memberSetSeeds(State, FixedSeeds);
 }
 
 void MemberService::start() {
@@ -48,7 +48,7 @@
   Peers->on<MemberMessage>(
       [this](const PeerMessage &, const MemberMessage &Message) {
         MemberActions Out;
-        memberReceived(State, Message, Timers->now(), Out);
+        memberHandleMessage(State, Message, Timers->now(), Out);
         perform(Out);
       });
   // Random offset, so that nodes that start together do not probe at once.
@@ -90,12 +90,12 @@
 void MemberService::seeds(const std::vector<HostPort> &Listed) {
   std::vector<HostPort> All = FixedSeeds;
   All.insert(All.end(), Listed.begin(), Listed.end());
-  memberSeeds(State, All);
+  memberSetSeeds(State, All);
 }
 
 void MemberService::leaving() {
   MemberActions Out;
-  memberLeaving(State, Timers->now(), Out);
+  memberSetLeaving(State, Timers->now(), Out);
   perform(Out);
 }
 
@@ -116,9 +116,9 @@
   return JoinedAt > TimePoint{} && Timers->now() - JoinedAt >= SettleTime;
 }
 
-void MemberService::fitness(bool Fit, bool CanRead) {
+void MemberService::announceFitness(bool Fit, bool CanRead) {
   MemberActions Out;
-  memberFitness(State, Fit, CanRead, Out);
+  memberSetFitness(State, Fit, CanRead, Out);
   perform(Out);
 }
 
--- a/src/member_service.h
+++ b/src/member_service.h
@@ -45,7 +45,7 @@
   void announceStop();
   /// Announces whether callers should be sent to this node, and whether it can
   /// read the key-value service.
-  void fitness(bool Fit, bool CanRead);
+  void announceFitness(bool Fit, bool CanRead);
   /// Sets the incarnation of this process and contacts seeds.
   void join(std::uint64_t Incarnation);
   /// \return Whether this process joined at least SettleTime ago, so that it
--- a/src/micro/micro.cpp
+++ b/src/micro/micro.cpp
@@ -77,7 +77,7 @@
 
   RouterBench(std::size_t Upstreams, std::size_t Organisations) {
     S.MaxRequests = 1 << 30;
-    bundleInForce(S, buildBundle(bundleItems(Organisations), 1), Now, Out);
+    activateBundle(S, buildBundle(bundleItems(Organisations), 1), Now, Out);
     std::vector<UpstreamSpec> Listed = upstreams(Upstreams, "p");
     for (UpstreamSpec &Spec : upstreams(Upstreams, "e"))
       Listed.push_back(std::move(Spec));
@@ -222,7 +222,7 @@
   All.Kind = MemberMessageKind::List;
   for (std::size_t I = 1; I <= Members; ++I)
     All.Updates.push_back(memberInfo(I));
-  memberReceived(*M, All, TimePoint{}, Out);
+  memberHandleMessage(*M, All, TimePoint{}, Out);
   M->PendingUpdates.clear();
   MemberMessage Ping;
   Ping.Kind = MemberMessageKind::Ping;
@@ -231,7 +231,7 @@
     Ping.Updates.push_back(memberInfo(I));
   return [M, Ping] {
     MemberActions Answer;
-    memberReceived(*M, Ping, TimePoint{}, Answer);
+    memberHandleMessage(*M, Ping, TimePoint{}, Answer);
     benchmark::DoNotOptimize(Answer);
   };
 }
@@ -270,7 +270,7 @@
         diffBundles(R->InForce, sealBundle(std::move(Next.Items), Version, "op",
                                            Key.PrivateHex, "", 1));
     RolloutActions Out;
-    rolloutDelta(*R, Delta, {}, TimePoint{}, "peer", Out);
+    rolloutHandleDelta(*R, Delta, {}, TimePoint{}, "peer", Out);
     if (R->InForce.Seal.Version != Version)
       throw std::logic_error("bundle delta was not applied");
   };
--- a/src/policy_type.h
+++ b/src/policy_type.h
@@ -44,7 +44,7 @@
   bool Hedging = true;  ///< Send a second attempt beside a slow idempotent one.
   bool Ejection = true; ///< Exclude failing and very slow upstreams.
   /// Exclude upstreams to which the send pace allows no call yet.
-  bool KeepPace = true;
+  bool RespectSendPace = true;
   bool Affinity = true; ///< Prefer the engine that served the same prefix,
                         ///< while its load allows.
   bool BoundedRetries = true; ///< Limit retries by a budget.
--- a/src/priority_share.h
+++ b/src/priority_share.h
@@ -32,13 +32,13 @@
 /// kept, urgent requests lose far less than the others gain.
 struct PriorityShares {
   std::map<int, PriorityShare> ByPriority; ///< 0 is the most urgent.
-  TimePoint AgedAt{}; ///< When the counts were last decayed.
+  TimePoint DecayedAt{}; ///< When the counts were last decayed.
 };
 
 /// Decays the counts and finds the underserved priorities. To be called every
 /// few tens of ms.
-inline void sharesAge(PriorityShares &S, TimePoint Now) {
-  double Keep = std::exp2(-toMs(Now - S.AgedAt) / toMs(ShareHalfLife));
+inline void sharesDecay(PriorityShares &S, TimePoint Now) {
+  double Keep = std::exp2(-toMs(Now - S.DecayedAt) / toMs(ShareHalfLife));
   PriorityShare All;
   for (auto &[Priority, Share] : S.ByPriority) {
     Share.Asked *= Keep;
@@ -49,7 +49,7 @@
   for (auto &[Priority, Share] : S.ByPriority)
     Share.Underserved =
         Share.Sent * All.Asked < MinRelativeShare * All.Sent * Share.Asked;
-  S.AgedAt = Now;
+  S.DecayedAt = Now;
 }
 
 /// \return Recent rate of pieces sent while they could be on time, per second.
--- a/src/quarantine.cpp
+++ b/src/quarantine.cpp
@@ -32,7 +32,7 @@
 
 /// \return Whether \p E has expired but has not been removed: then one more
 /// crash is enough for another quarantine.
-static bool onProbation(const QuarantineEntry &E, TimePoint Now) {
+static bool recentlyExpired(const QuarantineEntry &E, TimePoint Now) {
   return !E.Lifted && Now >= E.Until;
 }
 
@@ -78,7 +78,7 @@
     return Now - Crash.At > Q.Policy.Time;
   });
   addCrash(Crashes, Upstream, Now);
-  bool Again = Found != Q.Entries.end() && onProbation(Found->second, Now);
+  bool Again = Found != Q.Entries.end() && recentlyExpired(Found->second, Now);
   if (!Again && Crashes.size() < static_cast<std::size_t>(Q.Policy.Crashes))
     return false;
   beginQuarantine(Q, Content, Crashes.front().At, Now);
@@ -135,8 +135,8 @@
   return After ? QuarantineChange::Held : QuarantineChange::Lifted;
 }
 
-std::optional<Duration> quarantineLeft(const Quarantine &Q, Fingerprint Content,
-                                       TimePoint Now) {
+std::optional<Duration>
+quarantineRemaining(const Quarantine &Q, Fingerprint Content, TimePoint Now) {
   auto Found = Q.Entries.find(Content);
   if (Found == Q.Entries.end() || !isQuarantined(Found->second, Now))
     return std::nullopt;
--- a/src/quarantine_func.h
+++ b/src/quarantine_func.h
@@ -36,8 +36,8 @@
                                  TimePoint Now);
 
 /// \return Remaining time of the request's quarantine, or nullopt.
-std::optional<Duration> quarantineLeft(const Quarantine &Q, Fingerprint Content,
-                                       TimePoint Now);
+std::optional<Duration> quarantineRemaining(const Quarantine &Q,
+                                            Fingerprint Content, TimePoint Now);
 
 /// \return This node's decision on a request, which must have an entry.
 QuarantineNotice quarantineNotice(const Quarantine &Q, Fingerprint Content,
--- a/src/quarantine_service.cpp
+++ b/src/quarantine_service.cpp
@@ -96,7 +96,7 @@
   save();
 }
 
-void QuarantineService::ranWell(Fingerprint Content) {
+void QuarantineService::recordSuccess(Fingerprint Content) {
   if (quarantineSuccess(State, Content, Timers->now()))
     lift(Content);
 }
@@ -247,7 +247,7 @@
 }
 
 std::optional<Duration> QuarantineService::left(Fingerprint Content) const {
-  return quarantineLeft(State, Content, Timers->now());
+  return quarantineRemaining(State, Content, Timers->now());
 }
 
 int QuarantineService::crashes(Fingerprint Content) const {
--- a/src/quarantine_service.h
+++ b/src/quarantine_service.h
@@ -38,7 +38,7 @@
   void upstreamEnded(const std::string &Upstream,
                      const std::vector<Fingerprint> &Requests);
   /// Records that an upstream ran a request without a crash.
-  void ranWell(Fingerprint Content);
+  void recordSuccess(Fingerprint Content);
   /// \return Remaining time of a request's quarantine, or nullopt.
   std::optional<Duration> left(Fingerprint Content) const;
   /// \return Number of known crashes of upstreams that ran a request.
--- a/src/read_wait.h
+++ b/src/read_wait.h
@@ -36,7 +36,7 @@
 
 /// Updates the estimate from the number of pieces of work whose inputs were
 /// released early and were missing, or were found.
-inline void readWaitLearn(ReadWait &W, int Missed, int Found) {
+inline void readWaitUpdate(ReadWait &W, int Missed, int Found) {
   double Factor = std::pow(MissedFactor, Missed) * std::pow(FoundFactor, Found);
   W.Wait = fromMs(
       std::clamp(toMs(W.Wait) * Factor, toMs(MinReadWait), toMs(MaxReadWait)));
--- a/src/restart.cpp
+++ b/src/restart.cpp
@@ -53,7 +53,7 @@
                                             const UpstreamRestart &Restart) {
   std::vector<std::string> Lost;
   for (const auto &[Handle, Kept] : P.Kept) {
-    TimePoint StoredAt = Kept.Until - P.Spec.ResultLife;
+    TimePoint StoredAt = Kept.Until - P.Spec.ResultLifetime;
     if (Kept.Upstream == Restart.Earlier.incarnation() &&
         StoredAt < Restart.StartedAt)
       Lost.push_back(Handle);
--- a/src/rollout.cpp
+++ b/src/rollout.cpp
@@ -39,14 +39,14 @@
                              const Digest &HaveRoot) {
   BundleDelta Delta;
   Delta.Seal = R.InForce.Seal;
-  std::set<std::string> Touched;
+  std::set<std::string> ChangedKeys;
   for (auto Step = R.Steps.rbegin(); Step != R.Steps.rend(); ++Step) {
-    Touched.insert(Step->Touched.begin(), Step->Touched.end());
+    ChangedKeys.insert(Step->ChangedKeys.begin(), Step->ChangedKeys.end());
     if (Step->FromVersion != Have || Step->FromRoot != HaveRoot)
       continue;
     Delta.FromVersion = Have;
     Delta.FromRoot = HaveRoot;
-    for (const std::string &Key : Touched) {
+    for (const std::string &Key : ChangedKeys) {
       auto Item = R.InForce.Items.find(Key);
       if (Item == R.InForce.Items.end())
         Delta.Removed.push_back(Key);
@@ -68,7 +68,7 @@
   Out.push_back(SendDeltaAction{Node, std::move(Delta)});
 }
 
-static void rememberStep(Rollout &R, const SignedBundle &Next) {
+static void recordStep(Rollout &R, const SignedBundle &Next) {
   if (R.InForce.Seal.Version == 0)
     return;
   RolloutStep Step;
@@ -76,8 +76,8 @@
   Step.FromRoot = R.InForce.Seal.Root;
   BundleDelta Delta = diffBundles(R.InForce, Next);
   for (const auto &[Key, Json] : Delta.Changed)
-    Step.Touched.insert(Key);
-  Step.Touched.insert(Delta.Removed.begin(), Delta.Removed.end());
+    Step.ChangedKeys.insert(Key);
+  Step.ChangedKeys.insert(Delta.Removed.begin(), Delta.Removed.end());
   R.Steps.push_back(std::move(Step));
   if (R.Steps.size() > MaxSteps)
     R.Steps.pop_front();
@@ -110,7 +110,7 @@
     ++R.Counts.BadContent;
     return false;
   }
-  rememberStep(R, Next);
+  recordStep(R, Next);
   R.InForce = Next;
   R.InForce.History.clear();
   ++R.Counts.Applied;
@@ -156,9 +156,9 @@
   Out.push_back(FetchBundleAction{Node});
 }
 
-void rolloutDelta(Rollout &R, const BundleDelta &Delta,
-                  std::span<const std::string> Peers, TimePoint Now,
-                  const std::string &From, RolloutActions &Out) {
+void rolloutHandleDelta(Rollout &R, const BundleDelta &Delta,
+                        std::span<const std::string> Peers, TimePoint Now,
+                        const std::string &From, RolloutActions &Out) {
   if (Delta.Seal.Version <= R.InForce.Seal.Version) {
     ++R.Counts.Lower;
     return;
@@ -176,8 +176,8 @@
     notifyPeers(R, Peers, From, Out);
 }
 
-void rolloutFetch(Rollout &R, const std::string &Node, std::uint64_t Have,
-                  const Digest &HaveRoot, RolloutActions &Out) {
+void rolloutHandleFetch(Rollout &R, const std::string &Node, std::uint64_t Have,
+                        const Digest &HaveRoot, RolloutActions &Out) {
   if (R.InForce.Seal.Version <= Have)
     return;
   sendDelta(R, Node, deltaFrom(R, Have, HaveRoot), Out);
--- a/src/rollout_base.h
+++ b/src/rollout_base.h
@@ -14,9 +14,9 @@
 
 /// An applied change from one bundle version to the next.
 struct RolloutStep {
-  std::uint64_t FromVersion = 0; ///< Previous version.
-  Digest FromRoot = {};          ///< Root hash of the previous version.
-  std::set<std::string> Touched; ///< Keys that the step changed or removed.
+  std::uint64_t FromVersion = 0;     ///< Previous version.
+  Digest FromRoot = {};              ///< Root hash of the previous version.
+  std::set<std::string> ChangedKeys; ///< Keys that the step changed or removed.
 };
 
 /// Counters for operators.
--- a/src/rollout_func.h
+++ b/src/rollout_func.h
@@ -22,13 +22,13 @@
 /// Processes a delta from a peer.
 /// \param Peers random members to notify of a new version.
 /// \param From id of the peer.
-void rolloutDelta(Rollout &R, const BundleDelta &Delta,
-                  std::span<const std::string> Peers, TimePoint Now,
-                  const std::string &From, RolloutActions &Out);
+void rolloutHandleDelta(Rollout &R, const BundleDelta &Delta,
+                        std::span<const std::string> Peers, TimePoint Now,
+                        const std::string &From, RolloutActions &Out);
 
 /// Answers a peer's request for the difference from its version to this node's.
-void rolloutFetch(Rollout &R, const std::string &Node, std::uint64_t Have,
-                  const Digest &HaveRoot, RolloutActions &Out);
+void rolloutHandleFetch(Rollout &R, const std::string &Node, std::uint64_t Have,
+                        const Digest &HaveRoot, RolloutActions &Out);
 
 /// \return Whether this node is one of the \p Watchers nodes of its failure
 /// domain that watch the key-value service.
--- a/src/rollout_service.cpp
+++ b/src/rollout_service.cpp
@@ -18,7 +18,7 @@
 /// Random peers that are candidates for a notification of a new version.
 static constexpr std::size_t PeerSample = 4;
 /// Pause before the next watch of a key that does not exist yet.
-static constexpr Duration MissingKeyPause = std::chrono::milliseconds(500);
+static constexpr Duration MissingKeyDelay = std::chrono::milliseconds(500);
 
 RolloutService::RolloutService(Kernel &K, const Settings &S, std::uint64_t Seed)
     : Services(K), Config(S), Rng(Seed) {
@@ -38,17 +38,19 @@
                        Message.BundleRoot, Timers->now(), Out);
     perform(Out);
   });
-  Peers->on<BundleFetch>([this](const PeerMessage &Message,
-                                const BundleFetch &Fetch) {
-    RolloutActions Out;
-    rolloutFetch(State, Message.Sender, Fetch.HaveVersion, Fetch.HaveRoot, Out);
-    perform(Out);
-  });
+  Peers->on<BundleFetch>(
+      [this](const PeerMessage &Message, const BundleFetch &Fetch) {
+        RolloutActions Out;
+        rolloutHandleFetch(State, Message.Sender, Fetch.HaveVersion,
+                           Fetch.HaveRoot, Out);
+        perform(Out);
+      });
   Peers->on<BundleDelta>(
       [this](const PeerMessage &Message, const BundleDelta &Delta) {
         RolloutActions Out;
         auto Sample = Members->randomIds(PeerSample);
-        rolloutDelta(State, Delta, Sample, Timers->now(), Message.Sender, Out);
+        rolloutHandleDelta(State, Delta, Sample, Timers->now(), Message.Sender,
+                           Out);
         perform(Out);
       });
   // Each node is a watcher until it knows the other nodes of its failure
@@ -83,15 +85,15 @@
   if (Status != KvStatus::Ok) {
     // Jitter, so that not all watchers retry at once after an outage.
     double Factor = 0.5 + randomUnit(Rng);
-    Duration Wait =
-        FirstBackOff * (1 << std::min(FailuresInRow, MaxBackOffDoublings));
-    if (FailuresInRow++ == 0)
+    Duration Wait = FirstBackOff *
+                    (1 << std::min(ConsecutiveFailures, MaxBackOffDoublings));
+    if (ConsecutiveFailures++ == 0)
       logEvent(LogLevel::Warning, "kv_unavailable", {{"use", "bundle"}});
     if (Watching)
       Timers->after(fromMs(toMs(Wait) * Factor), [this] { startWatch(); });
     return;
   }
-  FailuresInRow = 0;
+  ConsecutiveFailures = 0;
   bool Changed = Entry.Index != SeenIndex;
   SeenIndex = Entry.Index;
   if (Changed && Entry.Index > 0) {
@@ -111,7 +113,7 @@
     return;
   // A watch of a key that does not exist returns at once; avoid a busy loop.
   if (Entry.Index == 0)
-    Timers->after(MissingKeyPause, [this] { startWatch(); });
+    Timers->after(MissingKeyDelay, [this] { startWatch(); });
   else
     startWatch();
 }
--- a/src/rollout_service.h
+++ b/src/rollout_service.h
@@ -48,7 +48,7 @@
   bool KvBehind = false;            ///< Whether the key-value service has no
                                     ///< readable bundle or a lower version.
   std::uint64_t SeenIndex = 0;      ///< Index of the latest entry read.
-  int FailuresInRow = 0;            ///< Consecutive failed watches.
+  int ConsecutiveFailures = 0;      ///< Consecutive failed watches.
   Random Rng;                       ///< Jitter of the back-off.
 };
 
--- a/src/route_feed.cpp
+++ b/src/route_feed.cpp
@@ -76,7 +76,7 @@
   Services.find<KvEpochs>(service::Kv).onEpoch([this](std::uint64_t) {
     ConfirmFrom = Timers->now() + RestoreTime;
   });
-  Readers->onBegin([this] { begin(); });
+  Readers->onReadAllowed([this] { begin(); });
 }
 
 /// Reads the configuration for the first time, or asks other nodes for it.
--- a/src/route_type.h
+++ b/src/route_type.h
@@ -71,7 +71,7 @@
   Duration CallTime{};         ///< Fixed time of a call, without its pieces.
   Duration PieceTime{};        ///< Approximate time that each piece adds.
   double ResultSpaceBytes = 0; ///< Space for results at one upstream.
-  Duration ResultLife{};       ///< How long an upstream keeps a result.
+  Duration ResultLifetime{};   ///< How long an upstream keeps a result.
 };
 
 /// A pool of model engines.
--- a/src/router.cpp
+++ b/src/router.cpp
@@ -309,7 +309,7 @@
 /// that readmitted upstreams get calls.
 static void sweep(RouterState &State, TimePoint Now) {
   for (auto &[Key, Estimate] : State.Estimates)
-    estimateAge(Estimate, Now);
+    estimateDecay(Estimate, Now);
   for (auto &[Name, P] : State.Pools) {
     ejectSlow(P, State.Policy, Now);
     State.PoolsToDispatch.push_back(&P);
--- a/src/router_dispatch.cpp
+++ b/src/router_dispatch.cpp
@@ -176,7 +176,7 @@
   while (!State.PoolsToDispatch.empty()) {
     Pool &P = *State.PoolsToDispatch.back();
     State.PoolsToDispatch.pop_back();
-    while (queueSize(P.Queue) > 0 && poolHasRoom(P, State.Policy, Now)) {
+    while (queueSize(P.Queue) > 0 && poolHasCapacity(P, State.Policy, Now)) {
       auto Call = queuePop(P.Queue);
       sendCall(State, P, *Call, Now, Out);
     }
--- a/src/router_func.h
+++ b/src/router_func.h
@@ -46,8 +46,8 @@
 std::optional<TimePoint> routerNextDue(const RouterState &State);
 
 /// Activates a bundle. Requests in progress keep the bundle they began with.
-void bundleInForce(RouterState &State, BundlePtr Next, TimePoint Now,
-                   RouterActions &Out);
+void activateBundle(RouterState &State, BundlePtr Next, TimePoint Now,
+                    RouterActions &Out);
 
 /// Applies a change of the host list, or of the subset that this node uses.
 void hostListChanged(RouterState &State, std::span<const UpstreamSpec> Listed,
--- a/src/router_pool.cpp
+++ b/src/router_pool.cpp
@@ -37,8 +37,8 @@
   });
 }
 
-void bundleInForce(RouterState &State, BundlePtr Next, TimePoint Now,
-                   RouterActions &Out) {
+void activateBundle(RouterState &State, BundlePtr Next, TimePoint Now,
+                    RouterActions &Out) {
   State.InForce = std::move(Next);
   for (auto &[Name, P] : State.Pools)
     P.Declared = false;
--- a/src/router_service.cpp
+++ b/src/router_service.cpp
@@ -73,7 +73,7 @@
 
 void RouterService::bundle(BundlePtr Next) {
   RouterActions Out;
-  bundleInForce(State, std::move(Next), now(), Out);
+  activateBundle(State, std::move(Next), now(), Out);
   // The host list has not been applied to new pools yet.
   hostListChanged(State, Listed, now(), Out);
   perform(std::move(Out));
@@ -97,7 +97,7 @@
   while (!Pending.empty()) {
     RouterAction Action = std::move(Pending.front());
     Pending.pop_front();
-    std::visit([this](auto &A) { carryOut(A); }, Action);
+    std::visit([this](auto &A) { performAction(A); }, Action);
   }
   Performing = false;
   arm();
@@ -160,7 +160,7 @@
   }
 }
 
-void RouterService::carryOut(DispatchAction &Action) {
+void RouterService::performAction(DispatchAction &Action) {
   if (!deferAfterPause(Action))
     sendNow(Action);
 }
@@ -185,19 +185,19 @@
   Call->start();
 }
 
-void RouterService::carryOut(CancelAction &Action) {
+void RouterService::performAction(CancelAction &Action) {
   auto Node = Calls.extract(Action.Attempt);
   if (!Node.empty())
     Node.mapped()->cancel();
 }
 
-void RouterService::carryOut(TokenAction &Action) {
+void RouterService::performAction(TokenAction &Action) {
   auto Found = Sinks.find(Action.Request);
   if (Found != Sinks.end())
     Found->second->token(Action.Text);
 }
 
-void RouterService::carryOut(FinishAction &Action) {
+void RouterService::performAction(FinishAction &Action) {
   const RequestReport &Report = Action.Report;
   metricsAdd(Counted, Report);
   logEvent(LogLevel::Debug, "request_ended",
@@ -211,10 +211,16 @@
     Node.mapped()->finished(Report);
 }
 
-void RouterService::carryOut(ClaimAction &Action) { Claims->claim(Action); }
+void RouterService::performAction(ClaimAction &Action) {
+  Claims->claim(Action);
+}
 
-void RouterService::carryOut(ReleaseAction &Action) { Claims->release(Action); }
+void RouterService::performAction(ReleaseAction &Action) {
+  Claims->release(Action);
+}
 
-void RouterService::carryOut(RecordAction &Action) { Claims->record(Action); }
+void RouterService::performAction(RecordAction &Action) {
+  Claims->record(Action);
+}
 
 } // namespace fulmar
--- a/src/router_service.h
+++ b/src/router_service.h
@@ -62,13 +62,13 @@
   /// Runs one router event and performs the resulting actions.
   template <typename Fn> void feed(Fn Event);
   void perform(RouterActions Actions);
-  void carryOut(DispatchAction &Action);
-  void carryOut(CancelAction &Action);
-  void carryOut(TokenAction &Action);
-  void carryOut(FinishAction &Action);
-  void carryOut(ClaimAction &Action);
-  void carryOut(ReleaseAction &Action);
-  void carryOut(RecordAction &Action);
+  void performAction(DispatchAction &Action);
+  void performAction(CancelAction &Action);
+  void performAction(TokenAction &Action);
+  void performAction(FinishAction &Action);
+  void performAction(ClaimAction &Action);
+  void performAction(ReleaseAction &Action);
+  void performAction(RecordAction &Action);
   void arm();
   TimePoint now() const;
   bool deferAfterPause(const DispatchAction &Action);
--- a/src/state_sync.cpp
+++ b/src/state_sync.cpp
@@ -48,7 +48,7 @@
 }
 
 /// Removes the nodes of weak hosts if at least \p Wanted strong ones remain.
-static void keepStrongHosts(Nodes &All, std::size_t Wanted) {
+static void filterStrongHosts(Nodes &All, std::size_t Wanted) {
   std::uint32_t Strongest = 0;
   for (const MemberInfo *Info : All)
     Strongest = std::max(Strongest, Info->Strength);
@@ -99,7 +99,7 @@
   std::size_t Readers = std::min(1 + Fleet / NodesPerReader, MaxReaders);
   bool Tiered = Fleet >= MaxReaders * NodesPerReader;
   std::size_t Relays = Tiered ? 1 + Fleet / NodesPerRelay : Readers;
-  keepStrongHosts(All, std::max(Readers, Relays / 2));
+  filterStrongHosts(All, std::max(Readers, Relays / 2));
   sortByRank(All);
   All.resize(std::min(All.size(), Relays));
   std::span<const MemberInfo *> Sources(All);
--- a/src/state_sync_service.cpp
+++ b/src/state_sync_service.cpp
@@ -79,7 +79,7 @@
         sendConfig(From.Sender, Asked);
       });
   Peers->on<ConfigCopy>([this](const PeerMessage &, const ConfigCopy &Copy) {
-    auto Pending = takePending(Fetches, Copy.Nonce);
+    auto Pending = removePending(Fetches, Copy.Nonce);
     if (!Pending)
       return; // Response to an earlier request: its age would be too small.
     for (const ConfigFn &Fn : ConfigSubscribers)
@@ -131,8 +131,8 @@
 /// those are less recent, and are ignored.
 /// \return The request, or nullopt if it is not in flight.
 std::optional<StateSyncService::PendingRequest>
-StateSyncService::takePending(std::deque<PendingRequest> &From,
-                              std::uint64_t Nonce) {
+StateSyncService::removePending(std::deque<PendingRequest> &From,
+                                std::uint64_t Nonce) {
   auto Found =
       std::find_if(From.begin(), From.end(), [Nonce](const PendingRequest &Q) {
         return Q.Nonce == Nonce;
@@ -164,7 +164,7 @@
                                const StateSyncResponse &Answer) {
   if (From == Asked)
     WaitingSince = TimePoint{};
-  if (auto Pending = takePending(PendingRequests, Answer.Nonce))
+  if (auto Pending = removePending(PendingRequests, Answer.Nonce))
     Answered = *Pending;
   else if (Answer.Nonce != Answered.Nonce)
     return; // The response to an earlier request is too old to use.
--- a/src/state_sync_service.h
+++ b/src/state_sync_service.h
@@ -61,7 +61,7 @@
   void fetchConfig();
   /// Calls \p Fn when this node may begin to read or query: when it learns that
   /// the fleet is small, and again when membership has settled.
-  void onBegin(std::function<void()> Fn) {
+  void onReadAllowed(std::function<void()> Fn) {
     BeginSubscribers.push_back(std::move(Fn));
   }
   /// \return Whether this node has had time to learn of the others.
@@ -91,7 +91,7 @@
   };
 
   static std::optional<PendingRequest>
-  takePending(std::deque<PendingRequest> &From, std::uint64_t Nonce);
+  removePending(std::deque<PendingRequest> &From, std::uint64_t Nonce);
   void addPending(std::deque<PendingRequest> &To, std::uint64_t Name) const;
   const SyncSource &source() const;
   void waitSettled();
--- a/src/upstream.cpp
+++ b/src/upstream.cpp
@@ -38,7 +38,7 @@
   // Outside this node's turn the upstream is not eligible, instead of merely
   // without capacity, so that all requests of a session go to the same other
   // upstream.
-  if (Policy.KeepPace && !paceAllows(U.Pace, Now))
+  if (Policy.RespectSendPace && !paceAllows(U.Pace, Now))
     return false;
   return !Policy.Ejection || U.EjectedUntil <= Now;
 }
@@ -184,7 +184,7 @@
   return bySampling(P, Policy, Hints, Rng, Now);
 }
 
-bool poolHasRoom(const Pool &P, const RouterPolicy &Policy, TimePoint Now) {
+bool poolHasCapacity(const Pool &P, const RouterPolicy &Policy, TimePoint Now) {
   for (const Upstream &U : P.Upstreams) {
     if (hasCapacity(U, Policy) && upstreamEligible(U, Policy, Now))
       return true;
--- a/src/upstream_feed.cpp
+++ b/src/upstream_feed.cpp
@@ -16,13 +16,13 @@
 /// The same for a node that has no list yet, and its interval between requests.
 static constexpr Duration FirstSyncTimeout = std::chrono::milliseconds(100);
 /// In a large fleet, nodes without news keep asking other nodes for this long
-/// plus a random part of LocalReadDelayPerNode for each node. Its list is long
+/// plus a random part of OwnReadDelayPerNode for each node. Its list is long
 /// and all nodes lose the store at the same time, so their reads would saturate
 /// the link of the store.
-static constexpr Duration LocalReadDelay = std::chrono::seconds(4);
-static constexpr Duration LocalReadDelayPerNode = std::chrono::milliseconds(50);
+static constexpr Duration MinOwnReadDelay = std::chrono::seconds(4);
+static constexpr Duration OwnReadDelayPerNode = std::chrono::milliseconds(50);
 /// Interval between the requests of such a node.
-static constexpr Duration AskInterval = std::chrono::milliseconds(200);
+static constexpr Duration SyncRequestInterval = std::chrono::milliseconds(200);
 /// A node that reads the list and whose list is older has lost the store.
 static constexpr Duration MaxSyncedAge = std::chrono::milliseconds(1300);
 /// Without a response to a comparison by buckets for this long, a node reads
@@ -46,7 +46,7 @@
   Services.find<KvEpochs>(service::Kv).onEpoch([this](std::uint64_t) {
     registryRestored(Registry, Timers->now());
   });
-  Readers->onBegin([this] { begin(); });
+  Readers->onReadAllowed([this] { begin(); });
 }
 
 /// Reads the list for the first time, or asks other nodes for it.
@@ -63,9 +63,10 @@
 /// Records that the list is recent.
 void UpstreamFeed::heardNow() {
   HeardAt = Timers->now();
-  OwnReadAfter = LocalReadDelay + fromMs(toMs(LocalReadDelayPerNode) *
-                                         static_cast<double>(Readers->nodes()) *
-                                         randomUnit(Rng));
+  OwnReadAfter =
+      MinOwnReadDelay +
+      fromMs(toMs(OwnReadDelayPerNode) * static_cast<double>(Readers->nodes()) *
+             randomUnit(Rng));
 }
 
 /// Reads the list or asks other nodes for it, after a time without news.
@@ -74,7 +75,7 @@
       Timers->now() - HeardAt > OwnReadAfter)
     return read();
   Readers->ask();
-  readAfter(AskInterval);
+  readAfter(SyncRequestInterval);
 }
 
 Duration UpstreamFeed::addJitter(Duration Pause) {
--- a/src/upstream_feed.h
+++ b/src/upstream_feed.h
@@ -56,7 +56,7 @@
 
   // upstream_feed_read.cpp: reading the key-value service.
   void read();
-  void readWhole();
+  void readWholeList();
   void readFailed(const std::string &Why);
   void onListRead(const KvItems &Found);
   bool mayFollow() const;
@@ -77,7 +77,7 @@
   Duration OwnReadAfter{}; ///< Without news for this long, read the store.
   bool Behind = false;     ///< Buckets are compared instead of changes.
   std::uint64_t Revision = 0; ///< Revision of the list; 0: unknown.
-  TimePoint WholeAt{};        ///< When the whole list was last read.
+  TimePoint ListReadAt{};     ///< When the whole list was last read.
   bool Begun = false;         ///< A first read or sync was started.
   int Failures = 0;           ///< Consecutive failed reads.
   std::map<std::string, std::string> Unreadable; ///< Errors of entries, by key.
--- a/src/upstream_feed_read.cpp
+++ b/src/upstream_feed_read.cpp
@@ -29,9 +29,9 @@
 /// program that fills the prefix with its own entries does not fill the log.
 static constexpr std::size_t MaxLoggedUnreadable = 20;
 
-void UpstreamFeed::read() { mayFollow() ? follow() : readWhole(); }
+void UpstreamFeed::read() { mayFollow() ? follow() : readWholeList(); }
 
-void UpstreamFeed::readWhole() {
+void UpstreamFeed::readWholeList() {
   TimePoint Sent = Timers->now();
   auto Done = [this, Sent](const KvItems &Found) {
     if (Found.Status != KvStatus::Ok)
@@ -41,7 +41,7 @@
       return readAfter(StoppedReadDelay);
     }
     Revision = Found.Revision;
-    WholeAt = Sent;
+    ListReadAt = Sent;
     onListRead(Found);
     heardNow();
     readAfter(mayFollow() ? FollowDelay : ReadPeriod);
@@ -69,8 +69,8 @@
 bool UpstreamFeed::mayFollow() const {
   return Revision != 0 && Readers->reads() &&
          Registry.Entries.size() >= LongList &&
-         Timers->now() - WholeAt < WholePeriod &&
-         WholeAt - Registry.OutageEndedAt > RestoreGracePeriod;
+         Timers->now() - ListReadAt < WholePeriod &&
+         ListReadAt - Registry.OutageEndedAt > RestoreGracePeriod;
 }
 
 void UpstreamFeed::follow() {
@@ -78,7 +78,7 @@
   Tree->follow(Wire.upstreamsPrefix(), Revision, FollowWait,
                [this, Sent](const KvItems &Found) {
                  if (Found.HistoryLost)
-                   return readWhole();
+                   return readWholeList();
                  if (Found.Status != KvStatus::Ok)
                    return readFailed(Found.Why);
                  applyEvents(Found.Items, Sent);
@@ -105,7 +105,7 @@
     else
       Gone.push_back(Instance);
   }
-  if (registryEvents(Registry, Listed, Gone, Sent))
+  if (registryApplyEvents(Registry, Listed, Gone, Sent))
     changed();
 }
 
@@ -123,7 +123,7 @@
       Listed.push_back(std::move(*Entry));
   }
   Unreadable = std::move(Errors);
-  if (registryRead(Registry, Listed, Timers->now()))
+  if (registryApplyList(Registry, Listed, Timers->now()))
     changed();
 }
 
--- a/src/upstream_func.h
+++ b/src/upstream_func.h
@@ -26,7 +26,7 @@
                       TimePoint Now);
 
 /// \return Whether an eligible upstream has capacity for one more call.
-bool poolHasRoom(const Pool &P, const RouterPolicy &Policy, TimePoint Now);
+bool poolHasCapacity(const Pool &P, const RouterPolicy &Policy, TimePoint Now);
 
 /// \return The sum of the concurrency limits of the eligible upstreams.
 double poolSlots(const Pool &P, const RouterPolicy &Policy, TimePoint Now);
--- a/src/upstream_registry.cpp
+++ b/src/upstream_registry.cpp
@@ -66,7 +66,7 @@
 }
 
 /// Keeps a change for nodes that ask for it.
-static void keepChange(UpstreamRegistry &Registry, RegistryChange Change) {
+static void recordChange(UpstreamRegistry &Registry, RegistryChange Change) {
   if (sizeOf(Change) > MaxKeptChangeSize)
     return Registry.Latest.clear();
   Registry.Latest.push_back(std::move(Change));
@@ -100,7 +100,7 @@
   Registry.Digest = sumOf(Buckets);
   Change.To = Registry.Digest;
   if (Change.To != Change.From)
-    keepChange(Registry, std::move(Change));
+    recordChange(Registry, std::move(Change));
 }
 
 /// \return The change from the current list to \p Next.
@@ -147,9 +147,9 @@
          Known->second.BornMs == Entry.BornMs;
 }
 
-static void rememberGone(UpstreamRegistry &Registry,
-                         const std::vector<std::string> &Instances,
-                         TimePoint Now) {
+static void recordGone(UpstreamRegistry &Registry,
+                       const std::vector<std::string> &Instances,
+                       TimePoint Now) {
   std::erase_if(Registry.Gone, [Now](const auto &Item) {
     return Now - Item.second.At > GoneRetention;
   });
@@ -165,8 +165,9 @@
   Registry.RestoredAt = Now;
 }
 
-bool registryRead(UpstreamRegistry &Registry,
-                  const std::vector<UpstreamEntry> &Listed, TimePoint Now) {
+bool registryApplyList(UpstreamRegistry &Registry,
+                       const std::vector<UpstreamEntry> &Listed,
+                       TimePoint Now) {
   if (Registry.Known && Now - Registry.ReadAt > ListOutageAge)
     Registry.OutageEndedAt = Now;
   bool Recovering = Registry.Known && Registry.OutageEndedAt > TimePoint{} &&
@@ -189,7 +190,7 @@
   RegistryChange Change = differenceTo(Registry, Next);
   bool Changed =
       !Registry.Known || !Change.Listed.empty() || !Change.Gone.empty();
-  rememberGone(Registry, Change.Gone, Now);
+  recordGone(Registry, Change.Gone, Now);
   BucketDigests Buckets = bucketsAfter(Registry, Change);
   applyChange(Registry, std::move(Change), Buckets);
   Registry.ReadAt = Now;
@@ -197,9 +198,9 @@
   return Changed;
 }
 
-bool registryEvents(UpstreamRegistry &Registry,
-                    const std::vector<UpstreamEntry> &Listed,
-                    const std::vector<std::string> &Gone, TimePoint Now) {
+bool registryApplyEvents(UpstreamRegistry &Registry,
+                         const std::vector<UpstreamEntry> &Listed,
+                         const std::vector<std::string> &Gone, TimePoint Now) {
   RegistryChange Change;
   for (const UpstreamEntry &Entry : Listed) {
     const UpstreamEntry &Latest = latestStart(Registry, Entry);
@@ -214,7 +215,7 @@
   Registry.ReadAt = std::max(Registry.ReadAt, Now);
   if (sizeOf(Change) == 0)
     return false;
-  rememberGone(Registry, Change.Gone, Now);
+  recordGone(Registry, Change.Gone, Now);
   BucketDigests Buckets = bucketsAfter(Registry, Change);
   applyChange(Registry, std::move(Change), Buckets);
   return true;
@@ -308,7 +309,7 @@
   BucketDigests Buckets = bucketsAfter(Registry, Change);
   if (sumOf(Buckets) != Offered.To)
     return false;
-  rememberGone(Registry, Change.Gone, ReadAt);
+  recordGone(Registry, Change.Gone, ReadAt);
   applyChange(Registry, std::move(Change), Buckets);
   Registry.ReadAt = std::max(Registry.ReadAt, ReadAt);
   Registry.Known = Registry.Known || Complete;
--- a/src/upstream_registry.h
+++ b/src/upstream_registry.h
@@ -91,14 +91,14 @@
 /// missing entries were removed at once, a node would have no upstreams for a
 /// second or two after each outage and would refuse all requests.
 /// \return Whether anything changed.
-bool registryRead(UpstreamRegistry &Registry,
-                  const std::vector<UpstreamEntry> &Listed, TimePoint Now);
+bool registryApplyList(UpstreamRegistry &Registry,
+                       const std::vector<UpstreamEntry> &Listed, TimePoint Now);
 
 /// Applies changes that the store reported since the list was read.
 /// \return Whether anything changed.
-bool registryEvents(UpstreamRegistry &Registry,
-                    const std::vector<UpstreamEntry> &Listed,
-                    const std::vector<std::string> &Gone, TimePoint Now);
+bool registryApplyEvents(UpstreamRegistry &Registry,
+                         const std::vector<UpstreamEntry> &Listed,
+                         const std::vector<std::string> &Gone, TimePoint Now);
 
 /// \return The change from the list with digest \p From to this one, or the
 /// whole list if \p From is that of a list that was never read. Empty if the
--- a/src/wire_format.h
+++ b/src/wire_format.h
@@ -44,10 +44,11 @@
   virtual ForwardRequestInfo
   readRequestInfo(const HttpExchange &Exchange) const = 0;
   /// Writes the call that forwards a request; the caller sets its address.
-  virtual HttpCall writeSend(const HttpExchange &Exchange,
-                             const ForwardCallInfo &Send) const = 0;
+  virtual HttpCall writeForwardCall(const HttpExchange &Exchange,
+                                    const ForwardCallInfo &Send) const = 0;
   /// Reads the head of an upstream's response.
-  virtual ForwardReply readReply(const HttpResponse &Answer) const = 0;
+  virtual ForwardResponseInfo
+  readResponseInfo(const HttpResponse &Answer) const = 0;
   /// \return The headers of an upstream's response that are passed to the
   /// client.
   virtual HttpHeaders replyHeaders(const HttpResponse &Answer) const = 0;
--- a/tests/batch_world.h
+++ b/tests/batch_world.h
@@ -40,7 +40,7 @@
     Spec.CallTime = std::chrono::milliseconds(240);
     Spec.PieceTime = Duration(8600);
     Spec.ResultSpaceBytes = 2.6e6;
-    Spec.ResultLife = std::chrono::seconds(4);
+    Spec.ResultLifetime = std::chrono::seconds(4);
     return Spec;
   }
 
--- a/tests/fleet_net.h
+++ b/tests/fleet_net.h
@@ -52,7 +52,7 @@
     std::uint64_t Incarnation = Nodes[I].Self.Incarnation + (1 << 16);
     Nodes[I] = fresh(I);
     Up[I] = true;
-    memberSeeds(Nodes[I], ListedAddresses);
+    memberSetSeeds(Nodes[I], ListedAddresses);
     HostPort Address{"10.0.0.1", static_cast<int>(I) + 1};
     if (std::find(ListedAddresses.begin(), ListedAddresses.end(), Address) ==
         ListedAddresses.end())
@@ -80,7 +80,7 @@
   /// Marks node \p I as ready.
   void makeReady(std::size_t I) {
     MemberActions Out;
-    memberFitness(Nodes[I], /*Fit=*/true, /*CanRead=*/true, Out);
+    memberSetFitness(Nodes[I], /*Fit=*/true, /*CanRead=*/true, Out);
     perform(Out);
   }
 
@@ -96,7 +96,7 @@
       if (!Up[To])
         continue;
       MemberActions Out;
-      memberReceived(Nodes[To], Message, Now, Out);
+      memberHandleMessage(Nodes[To], Message, Now, Out);
       perform(Out);
     }
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
--- a/tests/ledger_world.h
+++ b/tests/ledger_world.h
@@ -103,7 +103,7 @@
 
   void perform(std::size_t N, const LedgerActions &Actions) {
     for (const LedgerAction &Action : Actions)
-      std::visit([&](const auto &A) { carryOut(N, A); }, Action);
+      std::visit([&](const auto &A) { performAction(N, A); }, Action);
   }
   template <typename Fn> void with(std::size_t N, Fn F) {
     LedgerActions Out;
@@ -111,7 +111,7 @@
     perform(N, Out);
   }
 
-  void carryOut(std::size_t N, const ReadHeadAction &A) {
+  void performAction(std::size_t N, const ReadHeadAction &A) {
     auto Done = [=, this](KvStatus Status, LedgerHead Head, std::uint64_t I) {
       with(N, [&](Ledger &L, LedgerActions &Out) {
         ledgerHeadRead(L, A.Shard, Status, Head, I, Now, wall(), Out);
@@ -128,7 +128,7 @@
         },
         [=] { Done(KvStatus::Unavailable, {}, 0); });
   }
-  void carryOut(std::size_t N, const WriteHeadAction &A) {
+  void performAction(std::size_t N, const WriteHeadAction &A) {
     auto Done = [=, this](KvStatus Status) {
       with(N, [&](Ledger &L, LedgerActions &Out) {
         ledgerHeadWritten(L, A.Shard, Status, Now, wall(), Out);
@@ -152,7 +152,7 @@
         },
         [=] { Done(KvStatus::Unknown); });
   }
-  void carryOut(std::size_t N, const ReadSegmentAction &A) {
+  void performAction(std::size_t N, const ReadSegmentAction &A) {
     auto Done = [=, this](KvStatus Status, std::vector<LedgerEntry> Entries) {
       with(N, [&](Ledger &L, LedgerActions &Out) {
         ledgerSegmentRead(L, A.Shard, A.Name, Status, Entries, Now, wall(),
@@ -171,7 +171,7 @@
         },
         [=] { Done(KvStatus::Unavailable, {}); });
   }
-  void carryOut(std::size_t N, const WriteSegmentAction &A) {
+  void performAction(std::size_t N, const WriteSegmentAction &A) {
     auto Done = [=, this](KvStatus Status) {
       with(N, [&](Ledger &L, LedgerActions &Out) {
         ledgerSegmentWritten(L, A.Shard, Status, Now, wall(), Out);
@@ -185,11 +185,11 @@
         },
         [=] { Done(KvStatus::Unknown); });
   }
-  void carryOut(std::size_t, const RemoveSegmentAction &A) {
+  void performAction(std::size_t, const RemoveSegmentAction &A) {
     at(Now + delay(), -1,
        [=, this] { Segments.erase(std::to_string(A.Name)); });
   }
-  void carryOut(std::size_t N, const SendOpAction &A) {
+  void performAction(std::size_t N, const SendOpAction &A) {
     if (randomUnit(Rng) < MessageLossRate)
       return;
     std::size_t To = indexOf(A.Node);
@@ -199,7 +199,7 @@
       });
     });
   }
-  void carryOut(std::size_t, const SendResultAction &A) {
+  void performAction(std::size_t, const SendResultAction &A) {
     if (randomUnit(Rng) < MessageLossRate)
       return;
     std::size_t To = indexOf(A.Node);
@@ -209,7 +209,7 @@
       });
     });
   }
-  void carryOut(std::size_t N, const ClaimDecidedAction &A) {
+  void performAction(std::size_t N, const ClaimDecidedAction &A) {
     for (std::size_t I = 0; I < Requests.size(); ++I) {
       SimulatedRequest &T = Requests[I];
       if (T.Node != N || T.Serial != A.Request || T.Ended || T.Executed)
--- a/tests/test_batch.cpp
+++ b/tests/test_batch.cpp
@@ -179,7 +179,7 @@
   Spec.CallTime = milliseconds(150);
   Spec.PieceTime = Duration(2200);
   Spec.ResultSpaceBytes = 1e9;
-  Spec.ResultLife = seconds(4);
+  Spec.ResultLifetime = seconds(4);
   PoolWorld W(5, Spec);
   std::map<std::uint64_t, std::pair<int, TimePoint>> Asked;
   std::map<int, int> Asks;
@@ -430,7 +430,7 @@
   Spec.CallTime = milliseconds(150);
   Spec.PieceTime = Duration(1300);
   Spec.ResultSpaceBytes = 1e9;
-  Spec.ResultLife = seconds(4);
+  Spec.ResultLifetime = seconds(4);
   PoolWorld W(6, Spec);
   Random Rng(3);
   std::map<std::uint64_t, TimePoint> Due;
--- a/tests/test_caller_time.cpp
+++ b/tests/test_caller_time.cpp
@@ -21,7 +21,7 @@
   CallerTime P;
   GIVEN("a node that has seen a few requests only") {
     for (int I = 0; I < 10; ++I)
-      callerTimeLearn(P, newRequestTime(Rng));
+      callerTimeAddSample(P, newRequestTime(Rng));
     THEN("it treats every request as new") {
       CHECK(callerTimeUsed(P, 1s) == 0s);
     }
@@ -29,7 +29,7 @@
   GIVEN("a burst in which three of ten requests are retries") {
     for (int I = 0; I < 1000; ++I) {
       bool Retried = I % 10 >= 7;
-      callerTimeLearn(P, newRequestTime(Rng) - (Retried ? 2400ms : 0ms));
+      callerTimeAddSample(P, newRequestTime(Rng) - (Retried ? 2400ms : 0ms));
       if (Retried)
         callerTimeRefused(P);
     }
@@ -43,7 +43,7 @@
   }
   GIVEN("callers of two programs, of which one always waits for half as long") {
     for (int I = 0; I < 1000; ++I) {
-      callerTimeLearn(P, I % 2 == 0 ? 6s : 3s);
+      callerTimeAddSample(P, I % 2 == 0 ? 6s : 3s);
       if (I % 10 == 0)
         callerTimeRefused(P);
     }
--- a/tests/test_cold.cpp
+++ b/tests/test_cold.cpp
@@ -221,26 +221,26 @@
   UpstreamRegistry Reader;
   UpstreamRegistry Listener;
   TimePoint Now{seconds(1)};
-  registryRead(Reader, {Entry}, Now);
+  registryApplyList(Reader, {Entry}, Now);
   auto Tell = [&] {
     auto Change = registryChangesSince(Reader, Listener.Digest);
     return Change && registryApply(Listener, *Change, Now);
   };
   REQUIRE(Tell());
   Entry.ColdRemaining = seconds(3);
-  registryRead(Reader, {Entry}, Now + seconds(1));
+  registryApplyList(Reader, {Entry}, Now + seconds(1));
   REQUIRE(Reader.Digest != Listener.Digest);
   REQUIRE(Tell());
   CHECK(Listener.Entries.at("a").cold());
   WHEN("the time for which it is cold has decreased") {
     std::uint64_t Digest = Reader.Digest;
     Entry.ColdRemaining = seconds(2);
-    registryRead(Reader, {Entry}, Now + seconds(2));
+    registryApplyList(Reader, {Entry}, Now + seconds(2));
     THEN("the list counts as unchanged") { CHECK(Reader.Digest == Digest); }
   }
   WHEN("it is warm") {
     Entry.ColdRemaining = Duration::zero();
-    registryRead(Reader, {Entry}, Now + seconds(3));
+    registryApplyList(Reader, {Entry}, Now + seconds(3));
     REQUIRE(Tell());
     CHECK_FALSE(Listener.Entries.at("a").cold());
   }
--- a/tests/test_decisions.cpp
+++ b/tests/test_decisions.cpp
@@ -33,7 +33,7 @@
           F.Budget = Bits & 8;
           F.Elsewhere = Bits & 16;
           F.EarlierMayRun = Bits & 32;
-          F.TimeLeft = Bits & 64;
+          F.EnoughTime = Bits & 64;
           F.Expired = Bits & 128;
           F.MaxRuns = Bits & 256 ? 2 : 1;
           bool Ran = F.Effect == AttemptEffect::MayHaveRun ||
@@ -48,10 +48,10 @@
           if (V == AttemptDecision::Retry && Ran)
             CHECK((F.Repeatable && F.Runs < F.MaxRuns && F.Budget));
           if (V == AttemptDecision::Retry)
-            CHECK((F.TimeLeft && !F.Expired && F.Elsewhere));
+            CHECK((F.EnoughTime && !F.Expired && F.Elsewhere));
           if (F.Delivered && V != AttemptDecision::PassOn &&
               V != AttemptDecision::Retry)
-            CHECK(V == AttemptDecision::BreakOff);
+            CHECK(V == AttemptDecision::AbortConnection);
           if (F.Outcome == AttemptOutcome::Success)
             CHECK(V == AttemptDecision::PassOn);
         }
@@ -122,24 +122,24 @@
   UpstreamRegistry Registry;
   UpstreamEntry A{"i-a", "p", "1.2.3.4:5"};
   UpstreamEntry B{"i-b", "p", "1.2.3.4:6"};
-  CHECK(registryRead(Registry, {A, B}, TimePoint{seconds(1)}));
-  CHECK_FALSE(registryRead(Registry, {A, B}, TimePoint{seconds(2)}));
+  CHECK(registryApplyList(Registry, {A, B}, TimePoint{seconds(1)}));
+  CHECK_FALSE(registryApplyList(Registry, {A, B}, TimePoint{seconds(2)}));
   GIVEN("a list without one of them, and no outage") {
-    CHECK(registryRead(Registry, {A}, TimePoint{seconds(3)}));
+    CHECK(registryApplyList(Registry, {A}, TimePoint{seconds(3)}));
     CHECK(Registry.Entries.size() == 1);
   }
   GIVEN("an outage of five seconds") {
-    registryRead(Registry, {}, TimePoint{seconds(7)});
+    registryApplyList(Registry, {}, TimePoint{seconds(7)});
     CHECK(Registry.Entries.size() == 2);
-    registryRead(Registry, {A}, TimePoint{seconds(8)});
+    registryApplyList(Registry, {A}, TimePoint{seconds(8)});
     CHECK(Registry.Entries.size() == 2);
     THEN("one that is missing two seconds later is removed") {
-      registryRead(Registry, {A}, TimePoint{milliseconds(9100)});
+      registryApplyList(Registry, {A}, TimePoint{milliseconds(9100)});
       CHECK(Registry.Entries.size() == 1);
     }
     THEN("one that announces that it is leaving is updated at once") {
       A.Leaving = true;
-      registryRead(Registry, {A}, TimePoint{milliseconds(8100)});
+      registryApplyList(Registry, {A}, TimePoint{milliseconds(8100)});
       CHECK(Registry.Entries.at("i-a").Leaving);
     }
   }
@@ -164,9 +164,9 @@
   CHECK(Splitter.partial());
   GIVEN("a cursor in the stream") {
     EventCursor Cursor{2};
-    CHECK(Cursor.judge({"", 3}) == EventOrder::Next);
-    CHECK(Cursor.judge({"", 2}) == EventOrder::Repeat);
-    CHECK(Cursor.judge({"", 4}) == EventOrder::Gap);
+    CHECK(Cursor.classify({"", 3}) == EventOrder::Next);
+    CHECK(Cursor.classify({"", 2}) == EventOrder::Repeat);
+    CHECK(Cursor.classify({"", 4}) == EventOrder::Gap);
   }
 }
 
@@ -227,16 +227,16 @@
   ReadWait W;
   GIVEN("upstreams in another region, which find their inputs gone") {
     for (int I = 0; I < 10 && W.Wait < milliseconds(70); ++I)
-      readWaitLearn(W, /*Missed=*/10, /*Found=*/0);
+      readWaitUpdate(W, /*Missed=*/10, /*Found=*/0);
     CHECK(W.Wait >= milliseconds(70));
     THEN("the wait is shortened again in small steps") {
       Duration Before = W.Wait;
-      readWaitLearn(W, 0, 10);
+      readWaitUpdate(W, 0, 10);
       CHECK(W.Wait < Before);
       CHECK(W.Wait > Before * 9 / 10);
     }
     THEN("the wait has an upper bound") {
-      readWaitLearn(W, 1000, 0);
+      readWaitUpdate(W, 1000, 0);
       CHECK(W.Wait == MaxReadWait);
     }
   }
@@ -246,7 +246,7 @@
     // gone, and the wait becomes half as long again. Cause: a call with one
     // such request counted as much as a call that consists of them.
     for (int I = 0; I < 400; ++I)
-      readWaitLearn(W, I % 4 == 0 ? 6 : 0, I % 4 == 0 ? 40 : 46);
+      readWaitUpdate(W, I % 4 == 0 ? 6 : 0, I % 4 == 0 ? 40 : 46);
     CHECK(W.Wait < MinReadWait * 3 / 2);
   }
 }
--- a/tests/test_domain_drain.cpp
+++ b/tests/test_domain_drain.cpp
@@ -201,7 +201,7 @@
     Diagnostics Wrong;
     BundleItems Items = parseBundleSource("{" + Parts + More + "}", Wrong);
     REQUIRE(Wrong.empty());
-    bundleInForce(S, buildBundle(Items, Version), Now, Out);
+    activateBundle(S, buildBundle(Items, Version), Now, Out);
     hostListChanged(S,
                     std::vector<UpstreamSpec>{{"a:1", "enc", "fd1", false, {}},
                                               {"a:2", "enc", "fd2", false, {}}},
--- a/tests/test_fleet.cpp
+++ b/tests/test_fleet.cpp
@@ -191,9 +191,9 @@
   std::vector<UpstreamEntry> All;
   for (std::size_t I = 0; I < Size; ++I)
     All.push_back(Named(I));
-  registryRead(Reader, All, TimePoint{1s});
+  registryApplyList(Reader, All, TimePoint{1s});
   UpstreamRegistry Follower;
-  registryRead(Follower, {Named(Size)}, TimePoint{1s});
+  registryApplyList(Follower, {Named(Size)}, TimePoint{1s});
   std::size_t Parts = 0;
   BucketDigests Known = Follower.Buckets;
   std::uint64_t Digest = Follower.Digest;
@@ -210,7 +210,7 @@
     UpstreamEntry Leaving = Named(7);
     Leaving.Leaving = true;
     std::uint64_t Before = Reader.Digest;
-    CHECK(registryEvents(Reader, {Leaving}, {}, TimePoint{3s}));
+    CHECK(registryApplyEvents(Reader, {Leaving}, {}, TimePoint{3s}));
     auto Change = registryChangesSince(Reader, Before);
     REQUIRE(Change);
     CHECK(Change->Listed.size() == 1);
--- a/tests/test_member.cpp
+++ b/tests/test_member.cpp
@@ -38,7 +38,7 @@
     M.Self.Incarnation = Incarnation;
     M.Rng.seed(Rng());
     M.NextPeriod = Now + fromMs(randomUnit(Rng) * 1000);
-    memberSeeds(M, {{"10.0.0.1", 1}, {"10.0.0.1", 2}});
+    memberSetSeeds(M, {{"10.0.0.1", 1}, {"10.0.0.1", 2}});
     return M;
   }
   void perform(std::size_t From, const MemberActions &Out) {
@@ -82,7 +82,7 @@
           continue;
         }
         MemberActions Out;
-        memberReceived(Nodes[To], Node.mapped().second, Now, Out);
+        memberHandleMessage(Nodes[To], Node.mapped().second, Now, Out);
         perform(To, Out);
       }
       for (std::size_t I = 0; I < Nodes.size(); ++I) {
@@ -136,7 +136,7 @@
   }
   WHEN("a node announces that it leaves") {
     MemberActions Out;
-    memberLeaving(Net.Nodes[2], Net.Now, Out);
+    memberSetLeaving(Net.Nodes[2], Net.Now, Out);
     Net.perform(2, Out);
     Net.run(1s);
     THEN("within a second it is no longer given out") {
@@ -167,7 +167,7 @@
   for (std::size_t I = 0; I < Size; ++I) {
     Net.run(5ms);
     Net.Up[I] = true;
-    memberSeeds(Net.Nodes[I], All);
+    memberSetSeeds(Net.Nodes[I], All);
     MemberActions Out;
     memberJoin(Net.Nodes[I], 1000, Net.Now, Out);
     Net.perform(I, Out);
@@ -187,7 +187,7 @@
   MemberNet Net(Size, 12);
   std::vector<HostPort> Entered;
   for (std::size_t I = 0; I < Size; ++I) {
-    memberSeeds(Net.Nodes[I], Entered);
+    memberSetSeeds(Net.Nodes[I], Entered);
     Entered.push_back({"10.0.0.1", static_cast<int>(I) + 1});
     MemberActions Out;
     memberJoin(Net.Nodes[I], 1000, Net.Now, Out);
--- a/tests/test_parts.cpp
+++ b/tests/test_parts.cpp
@@ -340,7 +340,7 @@
   // Guards against a stage that is rejected forever after it has recovered: no
   // call is admitted, so there are no new samples, so the estimate stays high.
   for (int I = 0; I < 10; ++I)
-    estimateAge(E, Now += 6s);
+    estimateDecay(E, Now += 6s);
   CHECK(estimateAt(E, Quantile::High) < 20ms);
 }
 
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -312,7 +312,7 @@
   UpstreamRegistry Reader;
   UpstreamRegistry Other;
   std::vector<UpstreamEntry> Everywhere;
-  registryRead(Reader, {listed("a"), listed("b")}, TimePoint{seconds(1)});
+  registryApplyList(Reader, {listed("a"), listed("b")}, TimePoint{seconds(1)});
   THEN("a node without a list receives all of it") {
     auto Change = registryChangesSince(Reader, Other.Digest);
     REQUIRE(Change);
@@ -321,12 +321,12 @@
     CHECK(Other.Entries == Reader.Entries);
   }
   GIVEN("equal lists, and several changes of one") {
-    registryRead(Other, {listed("a"), listed("b")}, TimePoint{seconds(1)});
+    registryApplyList(Other, {listed("a"), listed("b")}, TimePoint{seconds(1)});
     CHECK(Other.Digest == Reader.Digest);
-    registryRead(Reader, {listed("a", true), listed("b"), listed("c")},
-                 TimePoint{seconds(2)});
-    registryRead(Reader, {listed("b"), listed("c", true)},
-                 TimePoint{seconds(3)});
+    registryApplyList(Reader, {listed("a", true), listed("b"), listed("c")},
+                      TimePoint{seconds(2)});
+    registryApplyList(Reader, {listed("b"), listed("c", true)},
+                      TimePoint{seconds(3)});
     THEN("all changes are sent at once") {
       auto Change = registryChangesSince(Reader, Other.Digest);
       REQUIRE(Change);
@@ -339,28 +339,28 @@
     }
     THEN("they do not apply to a list with another digest") {
       auto Change = registryChangesSince(Reader, Other.Digest);
-      registryRead(Other, {listed("d")}, TimePoint{seconds(3)});
+      registryApplyList(Other, {listed("d")}, TimePoint{seconds(3)});
       CHECK_FALSE(registryApply(Other, *Change, TimePoint{seconds(4)}));
       CHECK(Other.Entries.count("d") == 1);
     }
     THEN("there are no changes for a list that is too old") {
       for (int I = 0; I < 40; ++I)
-        registryRead(Reader, {listed("x" + std::to_string(I))},
-                     TimePoint{seconds(4 + I)});
+        registryApplyList(Reader, {listed("x" + std::to_string(I))},
+                          TimePoint{seconds(4 + I)});
       CHECK_FALSE(registryChangesSince(Reader, Other.Digest));
     }
   }
   GIVEN("a list that was read at another time") {
     for (int I = 0; I < 3000; ++I)
       Everywhere.push_back(listed("i" + std::to_string(I)));
-    registryRead(Reader, Everywhere, TimePoint{seconds(2)});
+    registryApplyList(Reader, Everywhere, TimePoint{seconds(2)});
     for (int I = 0; I < 40; ++I)
       Everywhere[static_cast<std::size_t>(I)].Leaving = true;
     Everywhere.push_back(listed("gone before the reader saw it"));
-    registryRead(Other, Everywhere, TimePoint{seconds(3)});
+    registryApplyList(Other, Everywhere, TimePoint{seconds(3)});
     Everywhere.pop_back();
     Everywhere.push_back(listed("new"));
-    registryRead(Reader, Everywhere, TimePoint{seconds(4)});
+    registryApplyList(Reader, Everywhere, TimePoint{seconds(4)});
     REQUIRE_FALSE(registryChangesSince(Reader, Other.Digest));
     THEN("only the buckets that differ are sent") {
       RegistryChange Change =
@@ -372,7 +372,7 @@
     }
     THEN("a list that differs everywhere is sent in bounded parts") {
       UpstreamRegistry Empty;
-      registryRead(Empty, {}, TimePoint{seconds(1)});
+      registryApplyList(Empty, {}, TimePoint{seconds(1)});
       int Answers = 0;
       while (Empty.Digest != Reader.Digest && ++Answers < 20) {
         RegistryChange Change =
@@ -385,8 +385,8 @@
     }
   }
   THEN("a list with a changed entry has another digest") {
-    registryRead(Other, {listed("a"), listed("b", true)},
-                 TimePoint{seconds(1)});
+    registryApplyList(Other, {listed("a"), listed("b", true)},
+                      TimePoint{seconds(1)});
     CHECK(Other.Digest != Reader.Digest);
   }
 }
@@ -395,7 +395,7 @@
   LogBudget B{10, 20, 20, TimePoint{seconds(1)}, 0};
   int Written = 0;
   for (int I = 0; I < 1000; ++I)
-    Written += logBudgetTake(B, TimePoint{seconds(1)} + milliseconds(I));
+    Written += logBudgetAcquire(B, TimePoint{seconds(1)} + milliseconds(I));
   CHECK(Written <= 30);
   CHECK(B.DroppedLines == static_cast<std::uint64_t>(1000 - Written));
 }
--- a/tests/test_quarantine.cpp
+++ b/tests/test_quarantine.cpp
@@ -234,7 +234,7 @@
     return quarantineCrash(Q, Suspect, Upstream, Now);
   }
   bool isQuarantined() const {
-    return quarantineLeft(Q, Suspect, Now).has_value();
+    return quarantineRemaining(Q, Suspect, Now).has_value();
   }
 };
 
--- a/tests/test_rate_limit.cpp
+++ b/tests/test_rate_limit.cpp
@@ -257,7 +257,7 @@
   LimitQueue Queue;
   TimePoint Now{seconds(100)};
   Duration Spare = seconds(1);
-  auto Take = [&] { return limitQueueTake(Queue, 2, Spare, Now); };
+  auto Take = [&] { return limitQueueAdmit(Queue, 2, Spare, Now); };
   for (int I = 0; I < 3; ++I)
     REQUIRE_FALSE(Take());
   SECTION("those that would wait for too long get a time to retry") {
--- a/tests/test_restart.cpp
+++ b/tests/test_restart.cpp
@@ -48,10 +48,11 @@
   // identified the instance.
   UpstreamRegistry Registry;
   UpstreamRegistry Other;
-  registryRead(Registry, {entryOf("a", 100)}, TimePoint{seconds(1)});
-  registryRead(Other, {entryOf("a", 100)}, TimePoint{seconds(1)});
+  registryApplyList(Registry, {entryOf("a", 100)}, TimePoint{seconds(1)});
+  registryApplyList(Other, {entryOf("a", 100)}, TimePoint{seconds(1)});
   auto Before = Registry.Entries;
-  REQUIRE(registryRead(Registry, {entryOf("a", 200)}, TimePoint{seconds(2)}));
+  REQUIRE(
+      registryApplyList(Registry, {entryOf("a", 200)}, TimePoint{seconds(2)}));
   THEN("that is a restart, and other nodes get the change") {
     auto Found =
         findRestarts(Before, Registry.Entries, 1200, TimePoint{seconds(3)});
@@ -67,20 +68,20 @@
   THEN("a late write of the earlier start changes nothing") {
     UpstreamEntry Late = entryOf("a", 100);
     Late.Leaving = true;
-    CHECK_FALSE(registryRead(Registry, {Late}, TimePoint{seconds(3)}));
+    CHECK_FALSE(registryApplyList(Registry, {Late}, TimePoint{seconds(3)}));
     CHECK(Registry.Entries.at("a").BornMs == 200);
     CHECK_FALSE(Registry.Entries.at("a").Leaving);
   }
   THEN("several starts between two reads are one restart") {
-    registryRead(Registry, {entryOf("a", 900)}, TimePoint{seconds(3)});
+    registryApplyList(Registry, {entryOf("a", 900)}, TimePoint{seconds(3)});
     CHECK(findRestarts(Before, Registry.Entries, 1200, TimePoint{seconds(3)})
               .size() == 1);
   }
   THEN("an outage of the list hides no restart") {
-    registryRead(Registry, {}, TimePoint{seconds(9)});
+    registryApplyList(Registry, {}, TimePoint{seconds(9)});
     REQUIRE(Registry.Entries.count("a") == 1);
     auto Away = Registry.Entries;
-    registryRead(Registry, {entryOf("a", 300)}, TimePoint{seconds(10)});
+    registryApplyList(Registry, {entryOf("a", 300)}, TimePoint{seconds(10)});
     CHECK(findRestarts(Away, Registry.Entries, 1200, TimePoint{seconds(10)})
               .size() == 1);
   }
--- a/tests/test_rollout.cpp
+++ b/tests/test_rollout.cpp
@@ -84,7 +84,7 @@
   rolloutVersionSeen(B, "a", 2, shortRoot(A.InForce.Seal.Root), TimePoint{},
                      Asked);
   REQUIRE(std::get<FetchBundleAction>(Asked.back()).Node == "a");
-  rolloutFetch(A, "b", version(B), B.InForce.Seal.Root, Out);
+  rolloutHandleFetch(A, "b", version(B), B.InForce.Seal.Root, Out);
   const SendDeltaAction Sent = std::get<SendDeltaAction>(Out.back());
   THEN("a change of one item is sent as one item") {
     CHECK(Sent.Delta.Changed.size() == 1);
@@ -92,7 +92,7 @@
   }
   THEN("the delta brings the peer to the same content") {
     RolloutActions Next;
-    rolloutDelta(B, Sent.Delta, {}, TimePoint{}, "a", Next);
+    rolloutHandleDelta(B, Sent.Delta, {}, TimePoint{}, "a", Next);
     CHECK(version(B) == 2);
     CHECK(B.InForce.Seal.Root == A.InForce.Seal.Root);
   }
@@ -103,9 +103,9 @@
     rolloutVersionSeen(B, "a", 4, shortRoot(A.InForce.Seal.Root), TimePoint{},
                        Next);
     REQUIRE(std::get<FetchBundleAction>(Next[0]).Node == "a");
-    rolloutFetch(A, "b", version(B), B.InForce.Seal.Root, Next);
-    rolloutDelta(B, std::get<SendDeltaAction>(Next[1]).Delta, {}, TimePoint{},
-                 "a", Next);
+    rolloutHandleFetch(A, "b", version(B), B.InForce.Seal.Root, Next);
+    rolloutHandleDelta(B, std::get<SendDeltaAction>(Next[1]).Delta, {},
+                       TimePoint{}, "a", Next);
     THEN("one fetch brings it up to date, by a delta") {
       CHECK(version(B) == 4);
       CHECK(A.Counts.WholeSent == 0);
@@ -115,9 +115,9 @@
     Rollout C = node();
     RolloutActions Next;
     rolloutVersionSeen(C, "a", 2, 0, TimePoint{}, Next);
-    rolloutFetch(A, "c", 0, Digest{}, Next);
-    rolloutDelta(C, std::get<SendDeltaAction>(Next[1]).Delta, {}, TimePoint{},
-                 "a", Next);
+    rolloutHandleFetch(A, "c", 0, Digest{}, Next);
+    rolloutHandleDelta(C, std::get<SendDeltaAction>(Next[1]).Delta, {},
+                       TimePoint{}, "a", Next);
     THEN("it receives the whole bundle from a peer") {
       CHECK(version(C) == 2);
       CHECK(A.Counts.WholeSent == 1);
@@ -127,7 +127,7 @@
     BundleDelta Bad = Sent.Delta;
     Bad.Changed.begin()->second += " ";
     RolloutActions Next;
-    rolloutDelta(B, Bad, {}, TimePoint{}, "a", Next);
+    rolloutHandleDelta(B, Bad, {}, TimePoint{}, "a", Next);
     THEN("it is not applied, and the node fetches again") {
       CHECK(version(B) == 1);
       CHECK(std::holds_alternative<FetchBundleAction>(Next[0]));
@@ -158,10 +158,11 @@
                        const RolloutAction &A) {
       RolloutActions Out;
       if (const auto *Send = std::get_if<SendDeltaAction>(&A))
-        rolloutDelta(Nodes[To], Send->Delta, Names, Now, Names[From], Out);
+        rolloutHandleDelta(Nodes[To], Send->Delta, Names, Now, Names[From],
+                           Out);
       else
-        rolloutFetch(Nodes[To], Names[From], version(Nodes[From]),
-                     Nodes[From].InForce.Seal.Root, Out);
+        rolloutHandleFetch(Nodes[To], Names[From], version(Nodes[From]),
+                           Nodes[From].InForce.Seal.Root, Out);
       Perform(To, Out);
       RC_ASSERT(version(Nodes[To]) >= Highest[To]);
       Highest[To] = version(Nodes[To]);
--- a/tests/test_router.cpp
+++ b/tests/test_router.cpp
@@ -33,7 +33,7 @@
     })",
                                           Wrong);
     REQUIRE(Wrong.empty());
-    bundleInForce(S, buildBundle(Items, 3), Now, Out);
+    activateBundle(S, buildBundle(Items, 3), Now, Out);
     setUpstreams(false);
   }
   void setUpstreams(bool Leaving) {
@@ -309,7 +309,7 @@
   Diagnostics Wrong;
   BundleItems Next = parseBundleSource(
       R"({"pools": [ { "name": "other", "kind": "stage" } ]})", Wrong);
-  bundleInForce(S, buildBundle(Next, 4), Now, Out);
+  activateBundle(S, buildBundle(Next, 4), Now, Out);
   attemptSent(S, lastDispatch().Attempt);
   end(AttemptEnd::Answered, "encoded");
   REQUIRE(lastDispatch().Stage == "t");
