--- a/src/batch_send.cpp
+++ b/src/batch_send.cpp
@@ -26,7 +26,7 @@
 
 /// How long a load report holds: an upstream that had no other calls then most
 /// likely still has none. Longer than a full call takes.
-static constexpr Duration LoadReportLife = std::chrono::milliseconds(1500);
+static constexpr Duration LoadReportLifetime = std::chrono::milliseconds(1500);
 
 /// Weight of the newest call in BatchPool::CallFill.
 static constexpr double FillWeight = 0.1;
@@ -167,7 +167,7 @@
 /// sends it calls.
 static bool startsImmediately(const BatchUpstream &U, TimePoint Now) {
   return U.OtherNodeCalls == 0 && U.LastResponseAt > TimePoint{} &&
-         Now - U.LastResponseAt < LoadReportLife;
+         Now - U.LastResponseAt < LoadReportLifetime;
 }
 
 /// \return Idle upstreams, sorted by calls of other nodes, then the fastest
--- a/src/domain_drain.cpp
+++ b/src/domain_drain.cpp
@@ -15,10 +15,10 @@
     Known.Names.erase(Domain);
 }
 
-bool domainDrainMerge(DrainedDomains &Known, const DrainedDomains &Heard) {
-  if (Heard.Revision <= Known.Revision)
+bool domainDrainMerge(DrainedDomains &Known, const DrainedDomains &Received) {
+  if (Received.Revision <= Known.Revision)
     return false;
-  Known = Heard;
+  Known = Received;
   return true;
 }
 
--- a/src/domain_drain_func.h
+++ b/src/domain_drain_func.h
@@ -18,7 +18,7 @@
 /// Replaces \p Known by a state that was read from the store or received from
 /// another node, if its revision is newer.
 /// \return Whether it was newer.
-bool domainDrainMerge(DrainedDomains &Known, const DrainedDomains &Heard);
+bool domainDrainMerge(DrainedDomains &Known, const DrainedDomains &Received);
 
 /// \return The listed upstreams, with those of drained domains marked as
 /// leaving: requests in flight complete there and results can still be read,
--- a/src/member_view.h
+++ b/src/member_view.h
@@ -40,15 +40,15 @@
 /// \return Whether this node and enough of the others know the same nodes.
 /// Known nodes without a recent digest are not counted.
 inline bool viewsAgree(const MemberViews &Views, TimePoint Now) {
-  double Heard = 0;
+  double Received = 0;
   double Same = 0;
   for (const auto &[Id, View] : Views.Others) {
     if (Now - View.At > MemberViewLifetime)
       continue;
-    ++Heard;
+    ++Received;
     Same += View.Digest == Views.Own ? 1 : 0;
   }
-  return Heard > 0 && Same >= Heard * MinAgreeingShare;
+  return Received > 0 && Same >= Received * MinAgreeingShare;
 }
 
 } // namespace fulmar
--- a/src/rollout_service.cpp
+++ b/src/rollout_service.cpp
@@ -13,8 +13,8 @@
 namespace fulmar {
 
 static constexpr Duration WatchTime = std::chrono::seconds(30);
-static constexpr Duration FirstBackOff = std::chrono::milliseconds(200);
-static constexpr int MaxBackOffDoublings = 4;
+static constexpr Duration InitialBackoff = std::chrono::milliseconds(200);
+static constexpr int MaxBackoffDoublings = 4;
 /// Random peers that are candidates for a notification of a new version.
 static constexpr std::size_t PeerSample = 4;
 /// Pause before the next watch of a key that does not exist yet.
@@ -85,8 +85,8 @@
   if (Status != KvStatus::Ok) {
     // Jitter, so that not all watchers retry at once after an outage.
     double Factor = 0.5 + randomUnit(Rng);
-    Duration Wait = FirstBackOff *
-                    (1 << std::min(ConsecutiveFailures, MaxBackOffDoublings));
+    Duration Wait = InitialBackoff *
+                    (1 << std::min(ConsecutiveFailures, MaxBackoffDoublings));
     if (ConsecutiveFailures++ == 0)
       logEvent(LogLevel::Warning, "kv_unavailable", {{"use", "bundle"}});
     if (Watching)
--- a/src/route_feed.cpp
+++ b/src/route_feed.cpp
@@ -40,8 +40,8 @@
 /// In a large fleet, a node that gets no answer asks other nodes for this long
 /// before it reads the service itself, and for up to the second time per node
 /// of the fleet longer.
-static constexpr Duration LargeFleetReadDelay = std::chrono::milliseconds(1500);
-static constexpr Duration ReadDelayPerNode = std::chrono::milliseconds(5);
+static constexpr Duration MinOwnReadDelay = std::chrono::milliseconds(1500);
+static constexpr Duration OwnReadDelayPerNode = std::chrono::milliseconds(5);
 /// Until a starting node without an answer checks whether to read the service.
 static constexpr Duration FirstReadDelay = std::chrono::milliseconds(100);
 /// A node whose own calls have failed this often and for this long reports that
@@ -71,8 +71,9 @@
   Timers = &Services.find<TimerService>(service::Timers);
   Tree = &Services.find<KvTree>(service::Kv);
   Readers = &Services.find<StateSyncService>(service::StateSync);
-  Readers->onSync([this](const StateSync &Heard) { handleSync(Heard); });
-  Readers->onConfig([this](const ReceivedConfig &Heard) { handleCopy(Heard); });
+  Readers->onSync([this](const StateSync &Received) { handleSync(Received); });
+  Readers->onConfig(
+      [this](const ReceivedConfig &Received) { handleCopy(Received); });
   Services.find<KvEpochs>(service::Kv).onEpoch([this](std::uint64_t) {
     ConfirmFrom = Timers->now() + RestoreTime;
   });
@@ -94,8 +95,8 @@
 void RouteFeed::resetOwnReadDelay() {
   OwnReadDelayStart = Timers->now();
   OwnReadDelay =
-      LargeFleetReadDelay +
-      fromMs(toMs(ReadDelayPerNode) * static_cast<double>(Readers->nodes()) *
+      MinOwnReadDelay +
+      fromMs(toMs(OwnReadDelayPerNode) * static_cast<double>(Readers->nodes()) *
              randomUnit(Rng));
 }
 
@@ -184,17 +185,18 @@
 
 /// Handles the state that a reader has sent. While that shows no newer version,
 /// this node does not call the service itself.
-void RouteFeed::handleSync(const StateSync &Heard) {
-  applyDrained(Heard.Answer.Drained, "peer");
+void RouteFeed::handleSync(const StateSync &Received) {
+  applyDrained(Received.Answer.Drained, "peer");
   // Without the timer, this node is reading or watching the service itself.
-  if (Fallback == TimerId{} || Heard.Answer.ConfigAge > MaxSyncedAge)
+  if (Fallback == TimerId{} || Received.Answer.ConfigAge > MaxSyncedAge)
     return;
   std::uint64_t Mine = Table ? Table->Version : 0;
-  if (Heard.Answer.ConfigVersion < Mine || Heard.Answer.ConfigVersion == 0)
+  if (Received.Answer.ConfigVersion < Mine ||
+      Received.Answer.ConfigVersion == 0)
     return;
-  if (Heard.Answer.ConfigVersion > Mine)
+  if (Received.Answer.ConfigVersion > Mine)
     return fetch();
-  confirm(Heard.SentBoot - Heard.Answer.ConfigAge);
+  confirm(Received.SentBoot - Received.Answer.ConfigAge);
   awaitUpdate();
 }
 
@@ -210,14 +212,14 @@
   scheduleFallback(CopyTimeout);
 }
 
-void RouteFeed::handleCopy(const ReceivedConfig &Heard) {
-  if (!Fetching || Heard.Copy.Age > MaxSyncedAge)
+void RouteFeed::handleCopy(const ReceivedConfig &Received) {
+  if (!Fetching || Received.Copy.Age > MaxSyncedAge)
     return;
   Fetching = false;
-  applyConfig(Heard.Copy.Text);
-  if (!Table || Table->Version != Heard.Copy.Version)
+  applyConfig(Received.Copy.Text);
+  if (!Table || Table->Version != Received.Copy.Version)
     return;
-  confirm(Heard.SentBoot - Heard.Copy.Age);
+  confirm(Received.SentBoot - Received.Copy.Age);
   awaitUpdate();
 }
 
@@ -308,10 +310,10 @@
 }
 
 /// Applies a set of drained failure domains, if it is newer than the known one.
-void RouteFeed::applyDrained(const DrainedDomains &Heard,
+void RouteFeed::applyDrained(const DrainedDomains &Received,
                              std::string_view Source) {
   std::set<std::string> Before = Drained.Names;
-  if (!domainDrainMerge(Drained, Heard) || Drained.Names == Before)
+  if (!domainDrainMerge(Drained, Received) || Drained.Names == Before)
     return;
   auto Log = [&](std::string_view Event, const std::string &Domain) {
     logEvent(LogLevel::Info, Event,
--- a/src/route_feed.h
+++ b/src/route_feed.h
@@ -59,13 +59,13 @@
   void fallbackDue();
   void resetOwnReadDelay();
   void scheduleFallback(Duration Pause);
-  void handleSync(const StateSync &Heard);
+  void handleSync(const StateSync &Received);
   void fetch();
-  void handleCopy(const ReceivedConfig &Heard);
+  void handleCopy(const ReceivedConfig &Received);
   void retry(const std::string &Why);
   void readSucceeded();
   void applyConfig(const std::string &Value);
-  void applyDrained(const DrainedDomains &Heard, std::string_view Source);
+  void applyDrained(const DrainedDomains &Received, std::string_view Source);
   void applyEvents(const std::vector<KvItem> &Events);
   void notifySubscribers() const;
   void confirm(Duration Sent);
--- a/src/upstream_feed.cpp
+++ b/src/upstream_feed.cpp
@@ -42,7 +42,7 @@
   Timers = &Services.find<TimerService>(service::Timers);
   Tree = &Services.find<KvTree>(service::Kv);
   Readers = &Services.find<StateSyncService>(service::StateSync);
-  Readers->onSync([this](const StateSync &Heard) { synced(Heard); });
+  Readers->onSync([this](const StateSync &Received) { handleSync(Received); });
   Services.find<KvEpochs>(service::Kv).onEpoch([this](std::uint64_t) {
     registryRestored(Registry, Timers->now());
   });
@@ -53,7 +53,7 @@
 void UpstreamFeed::begin() {
   if (std::exchange(Begun, true))
     return;
-  heardNow();
+  resetOwnReadDelay();
   if (Readers->reads() || !Readers->delegatesReading())
     return read();
   Readers->ask();
@@ -61,9 +61,9 @@
 }
 
 /// Records that the list is recent.
-void UpstreamFeed::heardNow() {
-  HeardAt = Timers->now();
-  OwnReadAfter =
+void UpstreamFeed::resetOwnReadDelay() {
+  OwnReadDelayStart = Timers->now();
+  OwnReadDelay =
       MinOwnReadDelay +
       fromMs(toMs(OwnReadDelayPerNode) * static_cast<double>(Readers->nodes()) *
              randomUnit(Rng));
@@ -72,7 +72,7 @@
 /// Reads the list or asks other nodes for it, after a time without news.
 void UpstreamFeed::onReadDue() {
   if (Readers->reads() || !Readers->delegatesReading() ||
-      Timers->now() - HeardAt > OwnReadAfter)
+      Timers->now() - OwnReadDelayStart > OwnReadDelay)
     return read();
   Readers->ask();
   readAfter(SyncRequestInterval);
@@ -93,11 +93,11 @@
 /// Processes the list state of a node that reads the list. If its list was read
 /// recently, this node need not read the store; otherwise the whole fleet would
 /// read each change.
-void UpstreamFeed::synced(const StateSync &Heard) {
-  const StateSyncResponse &Answer = Heard.Answer;
+void UpstreamFeed::handleSync(const StateSync &Received) {
+  const StateSyncResponse &Answer = Received.Answer;
   if (NextRead == TimerId{} || Answer.ListAge > MaxSyncedAge)
     return;
-  TimePoint ReadAt = Heard.SentAt - Answer.ListAge;
+  TimePoint ReadAt = Received.SentAt - Answer.ListAge;
   if (Answer.ListDigest != Registry.Digest) {
     // An older list would restore upstreams that are known to be leaving.
     if (Registry.Known && ReadAt <= Registry.ReadAt)
@@ -112,7 +112,7 @@
   }
   Behind = false;
   Registry.ReadAt = std::max(Registry.ReadAt, ReadAt);
-  heardNow();
+  resetOwnReadDelay();
   readAfter(SyncTimeout);
 }
 
--- a/src/upstream_feed.h
+++ b/src/upstream_feed.h
@@ -46,8 +46,8 @@
   void onReadDue();
   void readAfter(Duration Pause);
   Duration addJitter(Duration Pause);
-  void heardNow();
-  void synced(const StateSync &Heard);
+  void resetOwnReadDelay();
+  void handleSync(const StateSync &Received);
   bool applyChange(const StateSyncResponse &Answer, TimePoint ReadAt);
   void compareBuckets();
   void changed();
@@ -72,10 +72,10 @@
   KvTree *Tree = nullptr;              ///< The key-value service.
   UpstreamRegistry Registry;           ///< The current list.
   StateSyncService *Readers = nullptr; ///< Syncs lists with other nodes.
-  TimerId NextRead;        ///< Timer of the next read; none: a read is running.
-  TimePoint HeardAt{};     ///< When the list was last known to be recent.
-  Duration OwnReadAfter{}; ///< Without news for this long, read the store.
-  bool Behind = false;     ///< Buckets are compared instead of changes.
+  TimerId NextRead; ///< Timer of the next read; none: a read is running.
+  TimePoint OwnReadDelayStart{}; ///< When the list was last known to be recent.
+  Duration OwnReadDelay{};    ///< Without news for this long, read the store.
+  bool Behind = false;        ///< Buckets are compared instead of changes.
   std::uint64_t Revision = 0; ///< Revision of the list; 0: unknown.
   TimePoint ListReadAt{};     ///< When the whole list was last read.
   bool Begun = false;         ///< A first read or sync was started.
--- a/src/upstream_feed_read.cpp
+++ b/src/upstream_feed_read.cpp
@@ -43,7 +43,7 @@
     Revision = Found.Revision;
     ListReadAt = Sent;
     onListRead(Found);
-    heardNow();
+    resetOwnReadDelay();
     readAfter(mayFollow() ? FollowDelay : ReadPeriod);
   };
   Tree->range(Wire.upstreamsPrefix(), Done,
@@ -57,7 +57,7 @@
              {{"why", Why}, {"listed", Registry.Entries.size()}});
   // Other nodes may have a newer list by now.
   if (Readers->delegatesReading())
-    heardNow();
+    resetOwnReadDelay();
   readAfter(RetryDelay * Readers->retryFactor());
 }
 
@@ -82,7 +82,7 @@
                  if (Found.Status != KvStatus::Ok)
                    return readFailed(Found.Why);
                  applyEvents(Found.Items, Sent);
-                 heardNow();
+                 resetOwnReadDelay();
                  readAfter(FollowDelay);
                });
 }
--- a/tests/test_domain_drain.cpp
+++ b/tests/test_domain_drain.cpp
@@ -244,8 +244,8 @@
       After.push_back(Next);
     }
     DrainedDomains Known;
-    int Heard = *rc::gen::inRange(0, 20);
-    for (int I = 0; I < Heard; ++I) {
+    int Received = *rc::gen::inRange(0, 20);
+    for (int I = 0; I < Received; ++I) {
       auto Index = *rc::gen::inRange<std::size_t>(0, After.size());
       std::uint64_t Before = Known.Revision;
       domainDrainMerge(Known, After[Index]);
