--- a/src/attempt_decision_type.h
+++ b/src/attempt_decision_type.h
@@ -36,7 +36,7 @@
   int Runs = 0;           ///< Attempts that ran or may have run, with this one.
   int Sends = 0;          ///< Attempts that were sent, with this one.
   int MaxRuns = 1;        ///< Limit of Runs.
-  bool Budget = false;    ///< The retry budget has room.
+  bool Budget = false;    ///< The retry budget permits another attempt.
   bool Elsewhere = false; ///< Another upstream has free capacity.
   bool EarlierMayRun = false; ///< An earlier attempt may have run the request.
   bool EnoughTime = false;    ///< Another attempt can still end in time.
--- a/src/batch_service.h
+++ b/src/batch_service.h
@@ -77,7 +77,7 @@
   const WireFormat &Wire; ///< Encodes and decodes calls.
   TimerService *Timers = nullptr;
   HttpClient *Client = nullptr;             ///< Sends calls.
-  QuarantineService *Quarantined = nullptr; ///< Told of crashes.
+  QuarantineService *Quarantined = nullptr; ///< Receives reports of crashes.
   RateLimitService *RateLimited = nullptr; ///< Rate limits that upstreams name.
   std::map<std::string, Listing> Listings; ///< By pool.
   std::map<std::string, BatchPool> Pools;  ///< Pool parts, by name.
--- a/src/batch_type.h
+++ b/src/batch_type.h
@@ -87,7 +87,7 @@
   std::uint64_t Ticket = 0; ///< As in the request.
   bool Pending = false;     ///< The result follows in a later message.
   BatchForecast Forecast;   ///< While Pending: of the pool; zero: not known.
-  bool InputsRead = false;  ///< While Pending: no piece needs its inputs.
+  bool InputsRead = false;  ///< While Pending: the inputs have been read.
   BatchResult Result;       ///< Unless Pending.
 };
 
--- a/src/bench/pace_model.cpp
+++ b/src/bench/pace_model.cpp
@@ -31,7 +31,7 @@
 struct PaceNode {
   SendPace Pace;           ///< Its turns or its share of the limit.
   TimePoint Next{};        ///< With Saved or Alone: earliest next send.
-  std::size_t Granter = 0; ///< Index of the node that it asks for grants.
+  std::size_t Granter = 0; ///< Index of the node that grants its sends.
 };
 
 /// A simulated fleet.
--- a/src/bench/pace_model.h
+++ b/src/bench/pace_model.h
@@ -10,10 +10,10 @@
 
 namespace fulmar {
 
-/// Strategies to keep a rate limit.
+/// Strategies to enforce a rate limit.
 enum class PaceStrategy {
-  None,        ///< No node keeps the limit.
-  Alone,       ///< Each node keeps the whole limit by itself.
+  None,        ///< No node enforces the limit.
+  Alone,       ///< Each node enforces the whole limit by itself.
   Saved,       ///< Each node has a share and saves up unused sends.
   Asked,       ///< One node grants each send on request.
   RandomTurns, ///< Nodes take turns at random times.
--- a/src/bench/quarantine_model.cpp
+++ b/src/bench/quarantine_model.cpp
@@ -23,8 +23,8 @@
 /// Time after the third crash until every node knows of it.
 static constexpr Duration SettleTime = std::chrono::seconds(4);
 /// As in the service: the period of re-announcing a node's quarantines, the
-/// number of nodes told, and the delay before an interrupted request is
-/// retried.
+/// number of nodes that receive each announcement, and the delay before an
+/// interrupted request is retried.
 static constexpr Duration ReannouncePeriod = std::chrono::seconds(1);
 static constexpr int ReannounceFanout = 2;
 static constexpr Duration RetryBackoff = std::chrono::milliseconds(20);
--- a/src/fair_queue.cpp
+++ b/src/fair_queue.cpp
@@ -171,7 +171,8 @@
   if (queueSize(Queue) <= Queue.MaxCalls && Queue.Bytes <= Queue.MaxBytes)
     return std::nullopt;
   // Refusing the newest call would let one organisation fill the queue and
-  // lock the others out; a wave of new organisations would do just that.
+  // exclude the others; many new organisations at once would likewise exclude
+  // the established ones.
   return removeCall(Queue, findVictim(Queue).Place).Request;
 }
 
--- a/src/gateway_quarantine.cpp
+++ b/src/gateway_quarantine.cpp
@@ -11,7 +11,8 @@
 /// before the request is quarantined.
 static constexpr Duration CrashRetryDelay = std::chrono::milliseconds(20);
 
-/// Reports whether an ended attempt crashed its upstream or ran well.
+/// Reports an ended attempt that crashed its upstream, or that the upstream ran
+/// without a crash.
 void GatewayService::reportRun(const ForwardRequest &R,
                                const HttpResponse &Answer,
                                AttemptOutcome Outcome, AttemptEffect Effect) {
--- a/src/gateway_rate_limit.cpp
+++ b/src/gateway_rate_limit.cpp
@@ -78,8 +78,8 @@
 }
 
 /// \return Phase of a node's turns at an upstream. If all nodes have the same
-/// members, a node's place among them is used, as places are numbers without
-/// gaps.
+/// members, the node's index among the sorted members is used, since indexes
+/// are consecutive.
 double GatewayService::turnPhase(const std::string &Node,
                                  std::uint64_t Incarnation,
                                  const Upstream &U) const {
--- a/src/gateway_request.h
+++ b/src/gateway_request.h
@@ -102,7 +102,7 @@
   Duration Expected{};   ///< Time it should take, estimated at admission.
   Duration RetryIn{};    ///< Time until a retry, if it is refused.
   TimerId DeadlineTimer; ///< Ends it at Deadline.
-  TimerId EventTimer;    ///< Ends a silent attempt.
+  TimerId EventTimer;    ///< Ends an attempt without events.
   TimerId RetryTimer;    ///< Sends it after a wait.
   TimerId ReadTimer;     ///< Frees results that its upstream should have read.
   bool InputsFreed = false; ///< Freed; another attempt needs new ones.
--- a/src/gateway_retry.cpp
+++ b/src/gateway_retry.cpp
@@ -3,8 +3,8 @@
 /// The repeats of all nodes together are limited to a fraction of the requests.
 /// In a large fleet most nodes see no failure in a window and some see several,
 /// and a node's share is less than one repeat; so a node without repeats left
-/// asks another node for one. The lending node counts the repeat, so that the
-/// limit holds even if the nodes' member lists differ.
+/// requests one from another node. The lending node counts the repeat, so that
+/// the limit holds even if the nodes' member lists differ.
 #include "attempt_decision_func.h"
 #include "core/hash.h"
 #include "gateway_service.h"
@@ -68,7 +68,7 @@
   return true;
 }
 
-/// Lends one of this node's repeats to the node that asks for it, if possible.
+/// Lends one of this node's repeats to the node that requests it, if possible.
 void GatewayService::lendRetry(const std::string &From, const RetryAsk &Ask) {
   RetryAnswer Answer{Ask.Serial, /*Lent=*/false};
   RetryWindow &Window = Retries[Ask.Pool];
--- a/src/gateway_turns.cpp
+++ b/src/gateway_turns.cpp
@@ -2,9 +2,10 @@
 /// which nodes lend each other.
 ///
 /// In a large fleet each node's own turn is rare, and mostly comes when the
-/// node has no request for that upstream. So a node asks another one whose turn
-/// it is. A turn is used only once, by either node, so that the limit holds
-/// even if the nodes' member lists differ; a lost answer costs only the turn.
+/// node has no request for that upstream. So a node with a request borrows the
+/// turn of a node whose turn it is. A turn is used only once, by either node,
+/// so that the limit holds even if the nodes' member lists differ; a lost
+/// answer costs only the turn.
 #include <algorithm>
 #include <utility>
 
@@ -22,12 +23,12 @@
 
 /// Shortest wait of a request for this node's next turn.
 static constexpr Duration MinTurnWait = std::chrono::milliseconds(20);
-/// Backoff of a node's asks for turns at one upstream after a refusal: this
+/// Backoff between requests for turns at one upstream after a refusal: this
 /// fraction of the time between the turns of two nodes, with a lower bound.
 static constexpr double TurnAskBackoffFraction = 0.25;
 static constexpr Duration MinTurnAskBackoff = std::chrono::milliseconds(100);
 
-/// \return Time until a node that was refused a turn asks again.
+/// \return Time until a node may request a turn again after a refusal.
 static Duration turnAskBackoff(Duration Interval, double Nodes) {
   return std::max(
       MinTurnAskBackoff,
@@ -79,7 +80,7 @@
   return true;
 }
 
-/// Lends this node's turn to the node that asks for it, if possible.
+/// Lends this node's turn to the node that requests it, if possible.
 void GatewayService::lendTurn(const std::string &From, const TurnAsk &Ask) {
   TurnAnswer Answer{Ask.Serial, Ask.Upstream, /*Lent=*/false};
   for (auto &[Name, P] : Pools) {
--- a/src/member.cpp
+++ b/src/member.cpp
@@ -21,8 +21,8 @@
 static constexpr std::size_t EntriesPerListMessage = 14;
 /// Members that a change of this node's own state is sent to at once.
 static constexpr std::size_t AnnounceFanOut = 8;
-/// Seeds that a joining node asks for their members. A list grows with the size
-/// of the fleet, and all lists but the first one add little.
+/// Seeds that a joining node requests member lists from. A list grows with the
+/// size of the fleet, and all lists but the first one add little.
 static constexpr std::size_t JoinFanOut = 4;
 /// Seeds that a joining node announces itself to. In a fleet up to this size
 /// each pair of nodes that start together knows each other after one message.
--- a/src/peer_type.h
+++ b/src/peer_type.h
@@ -21,12 +21,12 @@
   std::uint64_t HaveVersion = 0; ///< Version at the sender.
   Digest HaveRoot = {};          ///< Content hash at the sender.
 };
-/// One node's demand of an organisation, sent to the organisation's home node.
+/// One node's demand of an organisation, sent to the node that aggregates it.
 struct DemandReport {
   std::string Organisation; ///< Its name.
   double Rate = 0;          ///< Requests per second.
 };
-/// The fleet's demand of an organisation, sent by its home node.
+/// The fleet's demand of an organisation, sent by its aggregator.
 struct DemandTotal {
   std::string Organisation; ///< Its name.
   double Rate = 0;          ///< Requests per second.
--- a/src/policy_type.h
+++ b/src/policy_type.h
@@ -65,9 +65,9 @@
   double AdmissionSlack = 1.0;
 };
 
-/// \return The baseline policy, with which the thin path began: first come,
-/// first served, round robin, fixed limits, no admission control, retries and
-/// queues without a bound.
+/// \return The baseline policy for comparison: first come, first served, round
+/// robin, fixed limits, no admission control, retries and queues without a
+/// bound.
 inline RouterPolicy baselinePolicy() {
   RouterPolicy Policy;
   Policy.Order = QueueOrder::Arrival;
--- a/src/priority_share.h
+++ b/src/priority_share.h
@@ -27,7 +27,8 @@
 ///
 /// Waiting jobs are sent by priority. While a pool is overloaded, the least
 /// urgent priority would get nothing at all for as long as that lasts, and its
-/// requests, which no refusal has told to retry, end late or fail together
+/// requests, whose clients were not refused and so do not retry, end late or
+/// fail together
 /// (test "a burst in which the least urgent are not starved"). With its share
 /// kept, urgent requests lose far less than the others gain.
 struct PriorityShares {
--- a/src/retry_window.h
+++ b/src/retry_window.h
@@ -30,8 +30,8 @@
 ///
 /// In a large fleet a node's share is less than one repeat, and rounded down no
 /// node could repeat anything. So as many nodes get one whole repeat as there
-/// are repeats, and the others ask those nodes for theirs. Every node can tell
-/// which nodes have one by their hashes.
+/// are repeats, and the others request repeats from those nodes, which every
+/// node determines from the hashes.
 inline double retryShare(const RetryAllowance &A) {
   double Share = RetryUsableFraction * A.Extra / (A.Nodes < 1 ? 1 : A.Nodes);
   if (Share >= 1)
@@ -76,7 +76,7 @@
   return static_cast<double>(W.Repeats.size() + 1) <= Limit;
 }
 
-/// Asks a node to cede one of the repeats that it may make.
+/// Requests the loan of one of the repeats that the receiver may make.
 struct RetryAsk {
   std::uint64_t Serial = 0; ///< Identifies the request at its sender.
   std::string Pool;         ///< Pool to repeat a send to.
--- a/src/route_feed.cpp
+++ b/src/route_feed.cpp
@@ -24,7 +24,7 @@
 /// itself: two requests were lost, or the reader is gone.
 static constexpr Duration SyncTimeout = std::chrono::milliseconds(650);
 /// A reader that has not confirmed its own version for this long has lost the
-/// service; nodes that ask it ignore its answer and read the service
+/// service; nodes that query it ignore its response and read the service
 /// themselves.
 static constexpr Duration MaxSyncedAge = std::chrono::milliseconds(1100);
 /// Without a copy of a newer version after this time, a node reads the version
@@ -37,9 +37,9 @@
 /// large fleet all nodes together would fill that link too, and copies of any
 /// size go through relays on strong hosts.
 static constexpr std::size_t MaxCopyBytes = std::size_t{32} << 10;
-/// In a large fleet, a node that gets no answer asks other nodes for this long
-/// before it reads the service itself, and for up to the second time per node
-/// of the fleet longer.
+/// In a large fleet, a node without an update requests one from other nodes for
+/// this long, and for up to OwnReadDelayPerNode longer per node of the fleet,
+/// before it reads the service itself.
 static constexpr Duration MinOwnReadDelay = std::chrono::milliseconds(1500);
 static constexpr Duration OwnReadDelayPerNode = std::chrono::milliseconds(5);
 /// Until a starting node without an answer checks whether to read the service.
@@ -80,7 +80,7 @@
   Readers->onReadAllowed([this] { begin(); });
 }
 
-/// Reads the configuration for the first time, or asks other nodes for it.
+/// Reads the configuration for the first time, or requests it from other nodes.
 void RouteFeed::begin() {
   if (std::exchange(Started, true))
     return;
--- a/src/upstream_base.h
+++ b/src/upstream_base.h
@@ -43,14 +43,14 @@
   bool Cold = false;         ///< Just started, with reduced capacity.
   SendPace Pace;             ///< Turns to send while its rate is limited.
   std::size_t Place = 0;     ///< Index in the pool's list.
-  TimePoint NextAsk{};       ///< Earliest time to ask a node for its turn.
+  TimePoint NextAsk{};       ///< Earliest time to request a node's turn.
   bool Local = false;        ///< In this node's failure domain.
   int InFlight = 0;          ///< Calls of this node in flight.
   ConcurrencyLimit Limit;    ///< Limit on InFlight.
   double LatencyRatio = 1;   ///< Smoothed latency over the stage's floor.
   int Samples = 0;           ///< Latency samples since the latest ejection.
   int Failures = 0;          ///< Consecutive failures.
-  int Ejections = 0;         ///< Consecutive; each doubles the next one's time.
+  int Ejections = 0;         ///< Consecutive; each doubles the next duration.
   TimePoint EjectedUntil{};  ///< Not used before this time.
   double OtherLoad = 0;      ///< Calls of other nodes, as it reported.
   TimePoint ReportedAt{};    ///< When OtherLoad was reported.
--- a/src/upstream_feed.cpp
+++ b/src/upstream_feed.cpp
@@ -9,16 +9,17 @@
 
 namespace fulmar {
 
-/// Without news from a node that reads the list for this long, a node reads the
-/// list itself or asks for it. An upstream must get no new work 2 s after its
-/// entry is marked as leaving; the rest of that time is for a slow read.
+/// A node that gets no update from a reader of the list within this time reads
+/// the list itself or requests it. An upstream must get no new work 2 s after
+/// its entry is marked as leaving; the rest of that time is for a slow read.
 static constexpr Duration SyncTimeout = std::chrono::milliseconds(900);
 /// The same for a node that has no list yet, and its interval between requests.
 static constexpr Duration FirstSyncTimeout = std::chrono::milliseconds(100);
-/// In a large fleet, nodes without news keep asking other nodes for this long
-/// plus a random part of OwnReadDelayPerNode for each node. Its list is long
-/// and all nodes lose the store at the same time, so their reads would saturate
-/// the link of the store.
+/// In a large fleet, a node without an update requests the list from other
+/// nodes for this long, plus a random part of OwnReadDelayPerNode for each
+/// node, before it reads the store. The list of such a fleet is long and all
+/// nodes lose the store at the same time, so their reads would saturate the
+/// link of the store.
 static constexpr Duration MinOwnReadDelay = std::chrono::seconds(4);
 static constexpr Duration OwnReadDelayPerNode = std::chrono::milliseconds(50);
 /// Interval between the requests of such a node.
@@ -49,7 +50,7 @@
   Readers->onReadAllowed([this] { begin(); });
 }
 
-/// Reads the list for the first time, or asks other nodes for it.
+/// Reads the list for the first time, or requests it from other nodes.
 void UpstreamFeed::begin() {
   if (std::exchange(Begun, true))
     return;
@@ -60,7 +61,7 @@
   readAfter(FirstSyncTimeout);
 }
 
-/// Records that the list is recent.
+/// Restarts the delay after which this node reads the list itself.
 void UpstreamFeed::resetOwnReadDelay() {
   OwnReadDelayStart = Timers->now();
   OwnReadDelay =
@@ -69,7 +70,8 @@
              randomUnit(Rng));
 }
 
-/// Reads the list or asks other nodes for it, after a time without news.
+/// Reads the list, or requests it from other nodes, if no update has arrived in
+/// time.
 void UpstreamFeed::onReadDue() {
   if (Readers->reads() || !Readers->delegatesReading() ||
       Timers->now() - OwnReadDelayStart > OwnReadDelay)
--- a/src/upstream_feed.h
+++ b/src/upstream_feed.h
@@ -73,9 +73,9 @@
   UpstreamRegistry Registry;           ///< The current list.
   StateSyncService *Readers = nullptr; ///< Syncs lists with other nodes.
   TimerId NextRead; ///< Timer of the next read; none: a read is running.
-  TimePoint OwnReadDelayStart{}; ///< When the list was last known to be recent.
-  Duration OwnReadDelay{};    ///< Without news for this long, read the store.
-  bool Behind = false;        ///< Buckets are compared instead of changes.
+  TimePoint OwnReadDelayStart{}; ///< Start of OwnReadDelay.
+  Duration OwnReadDelay{}; ///< Without an update for this long, read the store.
+  bool Behind = false;     ///< Buckets are compared instead of changes.
   std::uint64_t Revision = 0; ///< Revision of the list; 0: unknown.
   TimePoint ListReadAt{};     ///< When the whole list was last read.
   bool Begun = false;         ///< A first read or sync was started.
--- a/tests/test_batch.cpp
+++ b/tests/test_batch.cpp
@@ -127,8 +127,8 @@
 }
 
 SCENARIO("a burst whose refusals come at once") {
-  // Guards against requests that wait for 2.3 s in the mean in a burst, and are
-  // then refused and told to retry in 30 ms. A request is accepted because it
+  // Guards against requests that wait for 2.3 s on average in a burst, and are
+  // then refused with a retry delay of 30 ms. A request is accepted because it
   // could be on time; more urgent ones arrive and make it late, and all later
   // ones overtake it until it cannot complete in time. The cause was that its
   // queueing delay was estimated as if it could stay on time.
--- a/tests/test_cold.cpp
+++ b/tests/test_cold.cpp
@@ -215,8 +215,9 @@
 
 SCENARIO("nodes tell each other which upstreams are cold") {
   // Guards against nodes that send to a cold upstream as to any other. One node
-  // reads that an upstream has become cold and the others ask it for changes of
-  // the list. The digest of the list did not cover whether an upstream is cold.
+  // reads that an upstream has become cold and the others request changes of
+  // the list from it. The digest of the list did not cover whether an upstream
+  // is cold.
   UpstreamEntry Entry{"a", "pool", "10.0.0.1:1", "z1"};
   UpstreamRegistry Reader;
   UpstreamRegistry Listener;
