--- a/src/batch_coordinator.cpp
+++ b/src/batch_coordinator.cpp
@@ -12,7 +12,7 @@
 /// A node may be a coordinator if its host has this share of the strength of
 /// the strongest one. A pool's pieces and results all pass through its
 /// coordinator: on a link of 10 Mbit/s they queue until the requesting nodes
-/// take it for dead.
+/// consider it dead.
 static constexpr double StrengthShare = 0.7;
 /// While this share of the strong nodes is fit, only fit ones become
 /// coordinators: a node that cannot read the upstream list would form calls for
--- a/src/batch_service.h
+++ b/src/batch_service.h
@@ -78,9 +78,9 @@
   TimerService *Timers = nullptr;
   HttpClient *Client = nullptr;             ///< Sends calls.
   QuarantineService *Quarantined = nullptr; ///< Receives reports of crashes.
-  RateLimitService *RateLimited = nullptr; ///< Rate limits that upstreams name.
-  std::map<std::string, Listing> Listings; ///< By pool.
-  std::map<std::string, BatchPool> Pools;  ///< Pool parts, by name.
+  RateLimitService *RateLimited = nullptr;  ///< Announced rate limits.
+  std::map<std::string, Listing> Listings;  ///< By pool.
+  std::map<std::string, BatchPool> Pools;   ///< Pool parts, by name.
   std::set<std::string> ActiveParts; ///< Pool parts with work in progress.
   RetryAllowance Allowance;          ///< Retry allowance per pool.
   BatchTickets Tickets;              ///< Callbacks of batch requests.
--- a/src/batch_type.h
+++ b/src/batch_type.h
@@ -16,8 +16,8 @@
 
 namespace fulmar {
 
-/// Least retry delay that a refusal tells its client: a few round trips later a
-/// full pool is as full as before.
+/// Minimum retry delay in a refusal: a few round trips later a full pool is as
+/// full as before.
 inline constexpr Duration MinRetryDelay = std::chrono::milliseconds(200);
 
 struct BatchRequestTag {};
--- a/src/bench/history_base.h
+++ b/src/bench/history_base.h
@@ -15,7 +15,7 @@
 struct CallerEvent {
   std::string RequestId;    ///< The same for all tries of a request.
   std::string Organisation; ///< Organisation that sent it.
-  std::string Pipeline;     ///< Pipeline that it asked for.
+  std::string Pipeline;     ///< Requested pipeline.
   PipelineClass Class = PipelineClass::Interactive; ///< Class of the pipeline.
   TimePoint Due{};                                  ///< Scheduled send time.
   TimePoint Sent{};                                 ///< Actual send time.
--- a/src/bench/pace_model.cpp
+++ b/src/bench/pace_model.cpp
@@ -18,7 +18,7 @@
 /// limit plus Slack sends.
 static constexpr double Overage = 1.5;
 static constexpr double Slack = 5;
-/// Share of the limit that the granting node hands out.
+/// Share of the limit up to which a node grants sends.
 static constexpr double GrantedShare = 0.9;
 
 std::string_view paceStrategyName(PaceStrategy Way) {
@@ -70,7 +70,7 @@
 
 private:
   /// \return The first node that a node knows; if all nodes know each other,
-  /// all ask the same one.
+  /// all request grants from the same one.
   std::size_t firstKnownNode() {
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
       if (randomUnit(Rng) < Plan.Known)
--- a/src/bench/policy_base.h
+++ b/src/bench/policy_base.h
@@ -41,7 +41,7 @@
 /// A source of requests.
 struct ModelSource {
   std::string Organisation;           ///< Organisation that sends the requests.
-  std::string Pipeline;               ///< Pipeline that they ask for.
+  std::string Pipeline;               ///< Requested pipeline.
   double Rate = 0;                    ///< Mean rate in requests/s, Poisson.
   TimePoint From{};                   ///< Start of the load.
   TimePoint Until = TimePoint::max(); ///< End of the load.
--- a/src/fair_queue_base.h
+++ b/src/fair_queue_base.h
@@ -87,8 +87,8 @@
 };
 
 /// Calls queued for one pool. Capacity is divided between groups before
-/// classes, so that interactive calls of a wave of new organisations cannot
-/// overtake batch calls of established ones.
+/// classes, so that interactive calls of many new organisations at once
+/// cannot overtake batch calls of established ones.
 struct FairQueue {
   bool ByArrival = false;      ///< First come, first served: the baseline.
   ShareSpec Shares;            ///< Shares of groups and classes.
--- a/src/gateway_admission.cpp
+++ b/src/gateway_admission.cpp
@@ -79,7 +79,7 @@
 
 /// \return Fingerprint that \p R has in common with other tries of the same
 /// request. It holds the organisation and not the API key: an organisation may
-/// have several keys, and on a public route a key identifies nobody.
+/// have several keys, and on a public route a key identifies no caller.
 static Fingerprint fingerprintOf(const ForwardRequest &R) {
   return requestFingerprint(R.Organisation, R.Ask.Host, R.Exchange->Target,
                             R.Exchange->Body);
--- a/src/join_service.cpp
+++ b/src/join_service.cpp
@@ -82,8 +82,8 @@
   logEvent(LogLevel::Warning, "peer_key_replaced", {});
 }
 
-/// Makes the stored secret and that of this node equal. The stored one wins,
-/// since nodes that start now use it.
+/// Makes the stored secret and that of this node equal. The stored one takes
+/// precedence, since nodes that start now use it.
 void JoinService::confirmKey() {
   Store->get(KeyName,
              [this, Now = Generation](KvStatus Status, const KvEntry &Kept) {
--- a/src/member.cpp
+++ b/src/member.cpp
@@ -496,8 +496,8 @@
   std::uint64_t ChangesBefore = M.Changes;
   for (const MemberInfo &Update : Message.Updates)
     applyUpdate(M, Update, Forward, Now, Out);
-  // Many members are changing: gossip lags behind, and so does the node that is
-  // asked next.
+  // Many members are changing: gossip lags behind, and the next node to compare
+  // with may be outdated, too.
   if (!Forward && M.Changes != ChangesBefore)
     M.PullInterval = FirstPullDelay;
   const MemberInfo &Sender = Message.Updates.front();
@@ -531,8 +531,9 @@
   case MemberMessageKind::Invalid:
     break;
   }
-  // The sender is suspect or dead in this view and does not know it. Tell it,
-  // so that it can refute; otherwise a healed partition would stay partitioned.
+  // The sender is suspect or dead in this view and does not know it. Report
+  // that to it, so that it can refute; otherwise a healed partition would stay
+  // partitioned.
   if (Known != M.Members.end() && !isResponsive(Known->second.Info.State) &&
       Known->second.Info.Incarnation >= Sender.Incarnation) {
     MemberInfo Reported = Known->second.Info;
--- a/src/policy_type.h
+++ b/src/policy_type.h
@@ -48,7 +48,7 @@
   bool Affinity = true; ///< Prefer the engine that served the same prefix,
                         ///< while its load allows.
   bool BoundedRetries = true; ///< Limit retries by a budget.
-  bool BoundedQueues = true;  ///< Limit queues as the bundle says.
+  bool BoundedQueues = true;  ///< Limit queues as the bundle specifies.
   int SampleCount = 3;        ///< Upstreams sampled for one choice.
   int MaxAttempts = 3; ///< Maximum attempts of one stage, hedges included.
   double LatencyTolerance = 2.0; ///< Ratio of latency to the latency floor
--- a/src/rate_limit_type.h
+++ b/src/rate_limit_type.h
@@ -9,7 +9,7 @@
 
 namespace fulmar {
 
-/// Tells other nodes the rate limit that this one knows for an upstream.
+/// Informs other nodes of the rate limit that this one knows for an upstream.
 struct RateLimitNotice {
   Incarnation Upstream;    ///< The upstream and its start.
   std::uint32_t Round = 0; ///< Version of the limit; the highest one is valid.
--- a/src/route_feed.cpp
+++ b/src/route_feed.cpp
@@ -100,7 +100,7 @@
              randomUnit(Rng));
 }
 
-/// Asks a reader again or reads the service, as no update has come in time.
+/// Queries a reader again or reads the service, as no update has come in time.
 void RouteFeed::fallbackDue() {
   bool Own = Readers->reads() || !Readers->delegatesReading() ||
              Timers->now() - OwnReadDelayStart > OwnReadDelay;
--- a/src/upstream_feed_read.cpp
+++ b/src/upstream_feed_read.cpp
@@ -63,7 +63,7 @@
 
 /// \return Whether to watch for changes instead of reading the whole list. A
 /// read of a long list saturates the link of a small host for half a second,
-/// and the age of the list then makes every node that syncs with this one ask
+/// and the age of the list then makes every node that syncs with this one query
 /// others as well. Entries that are only retained because of an outage appear
 /// in no change, so whole reads go on until they are resolved.
 bool UpstreamFeed::mayFollow() const {
--- a/src/upstream_registry.cpp
+++ b/src/upstream_registry.cpp
@@ -65,7 +65,7 @@
   return Change.Listed.size() + Change.Gone.size();
 }
 
-/// Keeps a change for nodes that ask for it.
+/// Keeps a change for nodes that request it.
 static void recordChange(UpstreamRegistry &Registry, RegistryChange Change) {
   if (sizeOf(Change) > MaxKeptChangeSize)
     return Registry.Latest.clear();
--- a/tests/test_batch.cpp
+++ b/tests/test_batch.cpp
@@ -92,7 +92,7 @@
   // long.
   PoolWorld W(5);
   std::map<std::uint64_t, TimePoint> Due;
-  std::map<int, std::pair<int, int>> OnTime; // By priority: asked, on time.
+  std::map<int, std::pair<int, int>> OnTime; // By priority: requested, on time.
   std::map<std::uint64_t, int> Priority;
   std::set<std::uint64_t> Counted;
   for (int I = 0; I < 600; ++I) {
--- a/tests/test_restart.cpp
+++ b/tests/test_restart.cpp
@@ -180,7 +180,7 @@
   // listed start time shows the restart.
   GatewayWorld W;
   W.TimeoutMs = 9000;
-  W.TargetMs = 4000; // So that silence alone does not end an attempt.
+  W.TargetMs = 4000; // So that the event timeout does not end an attempt.
   W.configure();
   W.BornMs = EventLoop::wallClock() - 60'000;
   GIVEN("a run without a response") {
