--- a/src/attempt_decision_type.h
+++ b/src/attempt_decision_type.h
@@ -47,9 +47,9 @@
 enum class AttemptDecision {
   PassOn,             ///< Give the client the upstream's answer.
   Retry,              ///< Try another upstream.
-  RefuseNotRun,       ///< Tell the client that it has not run: 503.
-  FailUnknown,        ///< Tell the client that it failed: 502.
-  FailDeadlinePassed, ///< Tell the client that its deadline has passed: 504.
+  RefuseNotRun,       ///< Respond that it has not run: 503.
+  FailUnknown,        ///< Respond that it failed: 502.
+  FailDeadlinePassed, ///< Respond that its deadline has passed: 504.
   AbortConnection,    ///< Close the connection: part of the answer was sent to
                       ///< the client, and the rest cannot be.
   Count,              ///< Number of decisions.
--- a/src/batch_type.h
+++ b/src/batch_type.h
@@ -91,8 +91,8 @@
   BatchResult Result;       ///< Unless Pending.
 };
 
-/// Tells the coordinator what the requesting node has received, cancelled or
-/// released.
+/// Reports to the coordinator what the requesting node has received, cancelled
+/// or released.
 struct BatchReleaseMessage {
   std::string Pool; ///< Part of a pool that made the results in Freed.
   std::vector<std::uint64_t> Taken; ///< Tickets whose results were received.
--- a/src/bench/pace_model.cpp
+++ b/src/bench/pace_model.cpp
@@ -79,7 +79,8 @@
     return 0;
   }
 
-  /// Runs one load. \return The number of requests that arrived.
+  /// Runs one load.
+  /// \return The number of requests that arrived.
   double runLoad(double PerSecond, Duration Length) {
     double Arrivals = 0;
     TimePoint End = Now + Length;
@@ -134,8 +135,9 @@
     return paceAllows(Owner.Pace, Now) && takeTurn(Owner);
   }
 
-  /// Asks the granting node for a send. After its death no request is answered
-  /// until the others detect it; the next node then starts without state.
+  /// Requests a send from the granting node. After its death no request is
+  /// answered until the others detect it; the next node then starts without
+  /// state.
   bool requestGrant(PaceNode &Node) {
     Out.Messages += 2;
     Duration Since = Now - Begin;
--- a/src/gateway_retry.cpp
+++ b/src/gateway_retry.cpp
@@ -43,8 +43,9 @@
   return {};
 }
 
-/// Asks another node for a repeat, if an ended attempt would be retried but for
-/// the budget.
+/// Requests a repeat from another node, if an ended attempt would be retried
+/// but for the budget.
+///
 /// \return Whether the request waits for the answer.
 bool GatewayService::requestRetry(ForwardRequest &R, AttemptFacts Facts,
                                   const HttpResponse &Answer) {
--- a/src/gateway_turns.cpp
+++ b/src/gateway_turns.cpp
@@ -52,9 +52,10 @@
   return Owners.empty() ? "" : Owners[randomIndex(Rng, Owners.size())];
 }
 
-/// Asks another node for its turn, if the best upstream for a request has a
-/// rate limit and it is not this node's turn. \return Whether the request waits
-/// for the answer.
+/// Requests another node's turn, if the best upstream for a request has a rate
+/// limit and it is not this node's turn.
+///
+/// \return Whether the request waits for the answer.
 bool GatewayService::requestTurn(ForwardRequest &R, Pool &P,
                                  const ChoiceHints &Hints) {
   if (R.TurnRequested || RateLimited->size() == 0)
--- a/src/kv_tree.h
+++ b/src/kv_tree.h
@@ -30,7 +30,8 @@
 class KvTree {
 public:
   using ItemsFn = std::function<void(const KvItems &)>;
-  /// Receives the items read so far. \return Whether to read the next page.
+  /// Receives the items read so far.
+  /// \return Whether to read the next page.
   using ContinueFn = std::function<bool(const KvItems &)>;
 
   virtual ~KvTree() = default;
--- a/src/quarantine_type.h
+++ b/src/quarantine_type.h
@@ -36,8 +36,8 @@
   std::vector<QuarantineNotice> Notices; ///< Decisions, unordered.
 };
 
-/// Tells the node that announced a quarantine that the request has run without
-/// a crash since it was first suspected.
+/// Reports to the node that announced a quarantine that the request has run
+/// without a crash since it was first suspected.
 struct QuarantineObjection {
   Fingerprint Content; ///< Fingerprint of the request.
 };
--- a/src/rate_limit_type.h
+++ b/src/rate_limit_type.h
@@ -22,7 +22,7 @@
   std::vector<RateLimitNotice> Notices; ///< In no particular order.
 };
 
-/// Asks another node to lend its turn to send to an upstream.
+/// Requests the loan of the receiver's turn to send to an upstream.
 struct TurnAsk {
   std::uint64_t Serial = 0; ///< Identifies the request at its sender.
   Incarnation Upstream;     ///< The upstream and its start.
--- a/src/signature_func.h
+++ b/src/signature_func.h
@@ -43,7 +43,9 @@
                 std::string_view Signature);
 
 /// \return Whether the seal is signed with a trusted key of the signer that it
-/// names. \param OperatorKeys trusted public keys, each as NAME:HEX.
+/// names.
+///
+/// \param OperatorKeys trusted public keys, each as NAME:HEX.
 bool verifySeal(const BundleSeal &Seal,
                 const std::vector<std::string> &OperatorKeys);
 
--- a/src/state_sync_func.h
+++ b/src/state_sync_func.h
@@ -40,10 +40,12 @@
 /// Selects the source from which this node follows the key-value service.
 ///
 /// Each call to the service has a cost, long polls included, and its rate
-/// limits grow more slowly than the fleet. A node that has read it can tell
-/// others that nothing has changed, so a few nodes read, not one of each
+/// limits grow more slowly than the fleet. A node that has read it can report
+/// to others that nothing has changed, so a few nodes read, not one of each
 /// failure domain. A node whose source does not respond soon queries another
-/// one. \param Silent nodes to leave out because they recently did not respond.
+/// one.
+///
+/// \param Silent nodes to leave out because they recently did not respond.
 SyncSource chooseSyncSource(const Membership &M,
                             const std::set<std::string> &Silent);
 
--- a/tests/ledger_world.h
+++ b/tests/ledger_world.h
@@ -223,7 +223,7 @@
     }
   }
 
-  /// Tells the caller "not run" and releases the claim.
+  /// Responds "not run" to the caller and releases the claim.
   void giveUp(std::size_t Index) {
     SimulatedRequest &T = Requests[Index];
     T.Ended = true;
--- a/tests/test_domain_drain.cpp
+++ b/tests/test_domain_drain.cpp
@@ -58,7 +58,8 @@
         Loop, [&] { return drainedAt(Node) == Domains; }, seconds(4));
   }
 
-  /// Sends requests of every kind. \return How many succeeded.
+  /// Sends requests of every kind.
+  /// \return How many succeeded.
   int serve(int Count, std::size_t Node = 0) {
     std::vector<std::shared_ptr<ClientResult>> Sent;
     for (int I = 0; I < Count; ++I) {
