--- a/src/attempt_decision_type.h
+++ b/src/attempt_decision_type.h
@@ -36,7 +36,7 @@
   int Runs = 0;           ///< Attempts that ran or may have run, with this one.
   int Sends = 0;          ///< Attempts that were sent, with this one.
   int MaxRuns = 1;        ///< Limit of Runs.
-  bool Budget = false;    ///< The retry budget has room.
+  bool Budget = false;    ///< The retry budget permits another attempt.
   bool Elsewhere = false; ///< Another upstream has free capacity.
   bool EarlierMayRun = false; ///< An earlier attempt may have run the request.
   bool EnoughTime = false;    ///< Another attempt can still end in time.
@@ -47,9 +47,9 @@
 enum class AttemptDecision {
   PassOn,             ///< Give the client the upstream's answer.
   Retry,              ///< Try another upstream.
-  RefuseNotRun,       ///< Tell the client that it has not run: 503.
-  FailUnknown,        ///< Tell the client that it failed: 502.
-  FailDeadlinePassed, ///< Tell the client that its deadline has passed: 504.
+  RefuseNotRun,       ///< Respond that it has not run: 503.
+  FailUnknown,        ///< Respond that it failed: 502.
+  FailDeadlinePassed, ///< Respond that its deadline has passed: 504.
   AbortConnection,    ///< Close the connection: part of the answer was sent to
                       ///< the client, and the rest cannot be.
   Count,              ///< Number of decisions.
--- a/src/batch_type.h
+++ b/src/batch_type.h
@@ -16,8 +16,8 @@
 
 namespace fulmar {
 
-/// Least retry delay that a refusal tells its client: a few round trips later a
-/// full pool is as full as before.
+/// Minimum retry delay in a refusal: a few round trips later a full pool is as
+/// full as before.
 inline constexpr Duration MinRetryDelay = std::chrono::milliseconds(200);
 
 struct BatchRequestTag {};
@@ -87,12 +87,12 @@
   std::uint64_t Ticket = 0; ///< As in the request.
   bool Pending = false;     ///< The result follows in a later message.
   BatchForecast Forecast;   ///< While Pending: of the pool; zero: not known.
-  bool InputsRead = false;  ///< While Pending: no piece needs its inputs.
+  bool InputsRead = false;  ///< While Pending: the inputs have been read.
   BatchResult Result;       ///< Unless Pending.
 };
 
-/// Tells the coordinator what the requesting node has received, cancelled or
-/// released.
+/// Reports to the coordinator what the requesting node has received, cancelled
+/// or released.
 struct BatchReleaseMessage {
   std::string Pool; ///< Part of a pool that made the results in Freed.
   std::vector<std::uint64_t> Taken; ///< Tickets whose results were received.
--- a/src/bench/pace_model.cpp
+++ b/src/bench/pace_model.cpp
@@ -18,7 +18,7 @@
 /// limit plus Slack sends.
 static constexpr double Overage = 1.5;
 static constexpr double Slack = 5;
-/// Share of the limit that the granting node hands out.
+/// Share of the limit up to which a node grants sends.
 static constexpr double GrantedShare = 0.9;
 
 std::string_view paceStrategyName(PaceStrategy Way) {
@@ -31,7 +31,7 @@
 struct PaceNode {
   SendPace Pace;           ///< Its turns or its share of the limit.
   TimePoint Next{};        ///< With Saved or Alone: earliest next send.
-  std::size_t Granter = 0; ///< Index of the node that it asks for grants.
+  std::size_t Granter = 0; ///< Index of the node that grants its sends.
 };
 
 /// A simulated fleet.
@@ -70,7 +70,7 @@
 
 private:
   /// \return The first node that a node knows; if all nodes know each other,
-  /// all ask the same one.
+  /// all request grants from the same one.
   std::size_t firstKnownNode() {
     for (std::size_t I = 0; I < Nodes.size(); ++I) {
       if (randomUnit(Rng) < Plan.Known)
@@ -79,7 +79,8 @@
     return 0;
   }
 
-  /// Runs one load. \return The number of requests that arrived.
+  /// Runs one load.
+  /// \return The number of requests that arrived.
   double runLoad(double PerSecond, Duration Length) {
     double Arrivals = 0;
     TimePoint End = Now + Length;
@@ -134,8 +135,9 @@
     return paceAllows(Owner.Pace, Now) && takeTurn(Owner);
   }
 
-  /// Asks the granting node for a send. After its death no request is answered
-  /// until the others detect it; the next node then starts without state.
+  /// Requests a send from the granting node. After its death no request is
+  /// answered until the others detect it; the next node then starts without
+  /// state.
   bool requestGrant(PaceNode &Node) {
     Out.Messages += 2;
     Duration Since = Now - Begin;
--- a/src/member.cpp
+++ b/src/member.cpp
@@ -21,8 +21,8 @@
 static constexpr std::size_t EntriesPerListMessage = 14;
 /// Members that a change of this node's own state is sent to at once.
 static constexpr std::size_t AnnounceFanOut = 8;
-/// Seeds that a joining node asks for their members. A list grows with the size
-/// of the fleet, and all lists but the first one add little.
+/// Seeds that a joining node requests member lists from. A list grows with the
+/// size of the fleet, and all lists but the first one add little.
 static constexpr std::size_t JoinFanOut = 4;
 /// Seeds that a joining node announces itself to. In a fleet up to this size
 /// each pair of nodes that start together knows each other after one message.
@@ -496,8 +496,8 @@
   std::uint64_t ChangesBefore = M.Changes;
   for (const MemberInfo &Update : Message.Updates)
     applyUpdate(M, Update, Forward, Now, Out);
-  // Many members are changing: gossip lags behind, and so does the node that is
-  // asked next.
+  // Many members are changing: gossip lags behind, and the next node to compare
+  // with may be outdated, too.
   if (!Forward && M.Changes != ChangesBefore)
     M.PullInterval = FirstPullDelay;
   const MemberInfo &Sender = Message.Updates.front();
@@ -531,8 +531,9 @@
   case MemberMessageKind::Invalid:
     break;
   }
-  // The sender is suspect or dead in this view and does not know it. Tell it,
-  // so that it can refute; otherwise a healed partition would stay partitioned.
+  // The sender is suspect or dead in this view and does not know it. Report
+  // that to it, so that it can refute; otherwise a healed partition would stay
+  // partitioned.
   if (Known != M.Members.end() && !isResponsive(Known->second.Info.State) &&
       Known->second.Info.Incarnation >= Sender.Incarnation) {
     MemberInfo Reported = Known->second.Info;
--- a/src/policy_type.h
+++ b/src/policy_type.h
@@ -48,7 +48,7 @@
   bool Affinity = true; ///< Prefer the engine that served the same prefix,
                         ///< while its load allows.
   bool BoundedRetries = true; ///< Limit retries by a budget.
-  bool BoundedQueues = true;  ///< Limit queues as the bundle says.
+  bool BoundedQueues = true;  ///< Limit queues as the bundle specifies.
   int SampleCount = 3;        ///< Upstreams sampled for one choice.
   int MaxAttempts = 3; ///< Maximum attempts of one stage, hedges included.
   double LatencyTolerance = 2.0; ///< Ratio of latency to the latency floor
@@ -65,9 +65,9 @@
   double AdmissionSlack = 1.0;
 };
 
-/// \return The baseline policy, with which the thin path began: first come,
-/// first served, round robin, fixed limits, no admission control, retries and
-/// queues without a bound.
+/// \return The baseline policy for comparison: first come, first served, round
+/// robin, fixed limits, no admission control, retries and queues without a
+/// bound.
 inline RouterPolicy baselinePolicy() {
   RouterPolicy Policy;
   Policy.Order = QueueOrder::Arrival;
